--- a/packages/admission/src/__tests__/admission.test.ts
+++ b/packages/admission/src/__tests__/admission.test.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** The gate before an upstream. */
+/** Admission control, fair queueing and customer shares. */
 
 import fc from 'fast-check';
 import {describe, expect, it} from 'vitest';
@@ -19,8 +19,8 @@
   };
 }
 
-describe('the wait for a slot', () => {
-  it('is judged by how long calls of the same kind take', () => {
+describe('Admission: expected wait', () => {
+  it('uses the expected duration of the call', () => {
     const admission = new Admission(1, false);
     admission.offer(0, waiting('long'));
     admission.finish(500, 'long', 2000);
@@ -34,13 +34,13 @@
     });
   });
 
-  it('may be for a slot whose call is of a kind that is not known yet', () => {
+  it('does not count a call without an expected duration as stuck', () => {
     const admission = new Admission(1, false);
     admission.offer(0, waiting('1'));
     expect(admission.offer(5000, waiting('2')).kind).toBe('queued');
   });
 
-  it('is not for a slot whose call may never end', () => {
+  it('does not count on slots of calls that may never end', () => {
     const admission = new Admission(2, false);
     const kind = {expectedMilliseconds: 100};
     admission.offer(0, waiting('1', kind));
@@ -118,7 +118,7 @@
     );
   });
 
-  it('serves urgent calls first and lets them displace the least urgent', () => {
+  it('starts urgent calls first and lets them displace the least urgent', () => {
     const admission = new Admission(1, false);
     admission.offer(0, waiting('running'));
     for (let i = 0; i < 8; i += 1) {
@@ -130,7 +130,7 @@
     expect(started.map(({id}) => id)).toEqual(['urgent']);
   });
 
-  it('makes room for a customer with few calls among many of another', () => {
+  it('displaces calls of a flooding customer for one with few calls', () => {
     const admission = new Admission(1, false);
     admission.offer(0, waiting('running', {customer: 'flood'}));
     for (let i = 0; i < 20; i += 1) {
@@ -147,7 +147,7 @@
     expect(served).toContain('quiet');
   });
 
-  it('refuses at once what cannot meet its deadline', () => {
+  it('refuses a call that cannot meet its deadline', () => {
     const admission = new Admission(1, false);
     admission.offer(0, waiting('running'));
     const offer = admission.offer(0, waiting('late', {deadline: 5}));
@@ -158,10 +158,10 @@
   });
 });
 
-describe('a call that has to start by some time', () => {
+describe('Admission: startBy', () => {
   const FULL = waiting('full');
 
-  it('is refused at once when no slot is expected to be free by then', () => {
+  it('refuses a call when no slot is expected to be free by then', () => {
     const admission = new Admission(1, false);
     admission.offer(0, FULL);
     const late = waiting('late', {startBy: 5});
@@ -171,7 +171,7 @@
     });
   });
 
-  it('is given back when that time has come, long before its deadline', () => {
+  it('expires a queued call when that time has passed', () => {
     const admission = new Admission(1, false);
     admission.offer(0, FULL);
     const call = waiting('call', {startBy: 300});
@@ -180,7 +180,7 @@
     expect(admission.review(301).expired).toEqual([call]);
   });
 
-  it('runs when a slot is free, even if it comes late', () => {
+  it('starts a call that arrives later when a slot is free', () => {
     const admission = new Admission(1, false);
     expect(admission.offer(10, waiting('call', {startBy: 5})).kind).toBe(
       'start',
@@ -189,7 +189,7 @@
 });
 
 describe('FairQueue', () => {
-  it('serves customers in turn, by weight, however many calls each has', () => {
+  it('serves customers by weight, however many calls each has', () => {
     const queue = new FairQueue();
     for (let i = 0; i < 40; i += 1) {
       queue.add(waiting(`flood-${i}`, {customer: 'flood'}));
@@ -208,7 +208,7 @@
 });
 
 describe('CustomerShares', () => {
-  it('keeps room for others once the entry is half full', () => {
+  it('reserves capacity for others once half of it is used', () => {
     const shares = new CustomerShares({calls: 100, bytes: 1000});
     let taken = 0;
     while (shares.take('flood', 1)) {
--- a/packages/admission/src/adaptiveLimit.ts
+++ b/packages/admission/src/adaptiveLimit.ts
@@ -1,15 +1,16 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** How many calls an upstream can take at once, learnt from its answers. */
+/** Adapts the concurrency limit of an upstream to its answers. */
 
+/** Multiplicative decrease when the upstream sheds a call. */
 const SHED_FACTOR = 0.7;
 
-/** Share of the slots that a cold upstream starts with. */
+/** Share of its slots that a cold upstream starts with. */
 const COLD_SHARE = 0.25;
 
-/** Calls that must end well for the limit to grow by one, per call allowed. */
+/** Growth of the limit over as many successful calls as it allows. */
 const GROWTH_PER_ROUND = 1;
 
-/** Additive growth, multiplicative decrease, never above the slots. */
+/** Additive increase, multiplicative decrease (AIMD), capped at the slots. */
 export class AdaptiveLimit {
   private allowed: number;
 
@@ -20,7 +21,7 @@
     this.allowed = cold ? Math.max(1, slots * COLD_SHARE) : slots;
   }
 
-  /** Whole calls allowed now; at least one. */
+  /** Concurrent calls allowed now; at least one. */
   get current(): number {
     return Math.max(1, Math.floor(this.allowed));
   }
@@ -31,7 +32,7 @@
     this.allowed = Math.min(this.allowed, slots);
   }
 
-  /** A call ended well. */
+  /** Raises the limit after a successful call. */
   succeeded(): void {
     this.allowed = Math.min(
       this.slots,
@@ -39,12 +40,12 @@
     );
   }
 
-  /** The upstream said that it has too much to do. */
+  /** Lowers the limit after the upstream shed a call. */
   shed(): void {
     this.allowed = Math.max(1, this.allowed * SHED_FACTOR);
   }
 
-  /** The upstream comes back and is cold again. */
+  /** Resets the limit for an upstream that has returned and is cold. */
   cool(): void {
     this.allowed = Math.max(1, this.slots * COLD_SHARE);
   }
--- a/packages/admission/src/admission.ts
+++ b/packages/admission/src/admission.ts
@@ -1,12 +1,12 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Which calls an upstream runs, which wait and which are refused at once. */
+/** Admission control: runs, queues or refuses the calls to an upstream. */
 
 import type {RefusalReason} from '@lockpin/types';
 import {AdaptiveLimit} from './adaptiveLimit.js';
 import {FairQueue, isTooLateFor} from './fairQueue.js';
 import type {WaitingCall} from './fairQueue.js';
 
-/** What became of a call that was offered. */
+/** Decision on a call that was offered. */
 export type Offer =
   | {readonly kind: 'start'}
   | {readonly kind: 'queued'; readonly displaced: WaitingCall | undefined}
@@ -16,27 +16,29 @@
       readonly retryAfterMilliseconds: number;
     };
 
-/** Calls that a freed slot sets going, and those it is too late for. */
+/** Queued calls that were started or expired when slots were filled. */
 export interface Freed {
   readonly started: readonly WaitingCall[];
   readonly expired: readonly WaitingCall[];
 }
 
-/** Calls that may wait for each slot. */
+/** Queue length for each slot. */
 const QUEUED_PER_SLOT = 8;
 
-/** Weight of the newest call in the average of the time a call takes. */
+/** Weight of the latest call in the moving average of durations. */
 const DURATION_WEIGHT = 0.1;
 
+/** Expected duration before any call has ended. */
 const FIRST_DURATION_MILLISECONDS = 10;
 
 /**
- * A call that has taken this many times what was expected may never end, and nobody
- * should wait for its slot: one in twenty-five of a healthy upstream takes so long.
+ * A call that has run for this multiple of its expected duration may never end,
+ * so no call should wait for its slot. 4 % of the calls of a healthy upstream
+ * take that long.
  */
 const STUCK_FACTOR = 4;
 
-/** When to ask again after an upstream of which no slot is expected to be freed. */
+/** Retry-after when no slot is expected to be freed. */
 const STUCK_RETRY_MILLISECONDS = 500;
 
 interface RunningEntry {
@@ -44,7 +46,7 @@
   readonly startedAt: number;
 }
 
-/** The guard's gate before one upstream. */
+/** Admission control of a guard for one upstream. */
 export class Admission {
   private readonly queue = new FairQueue();
   private readonly running = new Map<string, RunningEntry>();
@@ -58,7 +60,7 @@
     this.limit = new AdaptiveLimit(slots, cold);
   }
 
-  /** Calls running and waiting. */
+  /** Running and queued calls. */
   get occupied(): number {
     return this.running.size + this.queue.size;
   }
@@ -71,7 +73,7 @@
     return this.limit.current;
   }
 
-  /** Time a call is expected to take, in milliseconds. */
+  /** Expected duration of a call, in milliseconds. */
   get expectedDuration(): number {
     return this.duration;
   }
@@ -104,7 +106,7 @@
     return {kind: 'queued', displaced};
   }
 
-  /** A running call ended, after how long if that says something; says what runs next. */
+  /** Ends a running call and fills its slot; ignores undefined durations. */
   finish(now: number, id: string, milliseconds: number | undefined): Freed {
     this.running.delete(id);
     if (milliseconds !== undefined) {
@@ -113,25 +115,25 @@
     return this.fill(now);
   }
 
-  /** Calls that wait for a slot. */
+  /** Queued calls. */
   waiting(): readonly WaitingCall[] {
     return this.queue.all();
   }
 
-  /** Takes a waiting call out: from here on it can never run. */
+  /** Removes a queued call, so that it can never run; false if not queued. */
   withdraw(id: string): boolean {
     return this.queue.remove(id);
   }
 
-  /** Takes out what waits in vain, and starts what can start. */
+  /** Expires queued calls that are too late, and starts those that fit. */
   review(now: number): Freed {
     const late = this.queue.overdue(now, (call) => this.expectedOf(call));
     late.forEach(({id}) => this.queue.remove(id));
-    const freed = this.fill(now);
-    return {started: freed.started, expired: [...late, ...freed.expired]};
+    const filled = this.fill(now);
+    return {started: filled.started, expired: [...late, ...filled.expired]};
   }
 
-  /** Takes out all that waits, because nothing new may start here. */
+  /** Removes all queued calls, since no new call may start. */
   drainQueue(): readonly WaitingCall[] {
     const calls: WaitingCall[] = [];
     for (let call = this.queue.take(); call; call = this.queue.take()) {
@@ -182,17 +184,17 @@
     return expectedMilliseconds ?? this.duration;
   }
 
-  /** Infinite where calls hold all slots that may never end. */
+  /** Infinite when all slots are held by calls that may never end. */
   private expectedWait(now: number, call: WaitingCall): number {
-    const rounds = (this.queue.aheadOf(call) + 1) / this.movingSlots(now);
+    const rounds = (this.queue.aheadOf(call) + 1) / this.availableSlots(now);
     return rounds * this.duration;
   }
 
   /**
-   * Slots that are free or expected to come free. A call of a kind that is not known
-   * yet may simply take long.
+   * Slots that are free or expected to be freed. A call without an expected
+   * duration never counts as stuck, since it may simply take long.
    */
-  private movingSlots(now: number): number {
+  private availableSlots(now: number): number {
     const entries = [...this.running.values()];
     const stuck = entries.filter(
       ({call: {expectedMilliseconds: expected}, startedAt}) =>
@@ -201,7 +203,7 @@
     return Math.max(0, this.limit.current - stuck.length);
   }
 
-  /** Under contention, no customer may fill more than its part of the queue. */
+  /** Whether a customer exceeds its share of the queue while others wait. */
   private isOverShare(call: WaitingCall): boolean {
     const customers = this.queue.waitingCustomers();
     const others = customers.size - (customers.has(call.customer) ? 1 : 0);
--- a/packages/admission/src/customerShares.ts
+++ b/packages/admission/src/customerShares.ts
@@ -1,29 +1,29 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** How much of an entry each customer may use while others need it too. */
+/** Fair shares of the capacity of an entry for its customers. */
 
-/** Limits of one entry. */
+/** Capacity of one entry. */
 export interface EntryCapacity {
-  /** Calls in flight over all customers. */
+  /** Calls in flight, of every customer. */
   readonly calls: number;
-  /** Bytes of bodies held over all customers. */
+  /** Bytes of buffered request bodies, of every customer. */
   readonly bytes: number;
 }
 
-/** What one small process can hold with its memory limit. */
+/** Fits the memory limit of a small process. */
 export const DEFAULT_ENTRY_CAPACITY: EntryCapacity = {
   calls: 2000,
   bytes: 64 * 1024 * 1024,
 };
 
-/** Share of the entry above which fair shares are enforced. */
-const CONTENDED = 0.5;
+/** Share of the capacity above which fair shares are enforced. */
+const CONTENTION_THRESHOLD = 0.5;
 
 interface Usage {
   calls: number;
   bytes: number;
 }
 
-/** Counts what each customer holds and refuses what is over its share. */
+/** Tracks the usage of each customer and refuses calls over its share. */
 export class CustomerShares {
   private readonly usage = new Map<string, Usage>();
   private calls = 0;
@@ -31,7 +31,7 @@
 
   constructor(private readonly capacity: EntryCapacity) {}
 
-  /** Takes room for a call, or says that the customer has had its share. */
+  /** Reserves capacity for a call; false if the customer is over its share. */
   take(customer: string, bytes: number): boolean {
     const used = this.usage.get(customer) ?? {calls: 0, bytes: 0};
     if (!this.fits(used.calls, this.calls, 1, this.capacity.calls)) {
@@ -48,7 +48,7 @@
     return true;
   }
 
-  /** Gives back what a call took. */
+  /** Releases the capacity of a call. */
   release(customer: string, bytes: number): void {
     const used = this.usage.get(customer);
     if (used === undefined) {
@@ -65,17 +65,17 @@
 
   private fits(
     own: number,
-    all: number,
+    total: number,
     added: number,
     capacity: number,
   ): boolean {
-    if (all + added > capacity) {
+    if (total + added > capacity) {
       return false;
     }
-    if (all + added <= capacity * CONTENDED) {
+    if (total + added <= capacity * CONTENTION_THRESHOLD) {
       return true;
     }
-    const sharers = Math.max(2, this.usage.size);
-    return own + added <= capacity / sharers;
+    const activeCustomers = Math.max(2, this.usage.size);
+    return own + added <= capacity / activeCustomers;
   }
 }
--- a/packages/admission/src/fairQueue.ts
+++ b/packages/admission/src/fairQueue.ts
@@ -1,35 +1,35 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Waiting calls: urgent ones first, then a fair share for each customer. */
+/** Queue of waiting calls: by priority, then fair between customers. */
 
 /** A call that waits for a slot. */
 export interface WaitingCall {
   readonly id: string;
   readonly customer: string;
-  /** Share of this customer relative to the others; 1 is usual. */
+  /** Weight of the customer relative to others; 1 by default. */
   readonly weight: number;
   /** 0 is the most urgent. */
   readonly priority: number;
-  /** Time after which its answer is of no use, in milliseconds since 1970. */
+  /** Time after which its answer is useless, in milliseconds since 1970. */
   readonly deadline: number;
   /**
-   * Time by which an answer must be expected for the call to wait at all;
-   * the deadline when absent.
+   * The call is queued only if its answer is expected by then; the deadline
+   * when absent.
    */
   readonly usefulUntil?: number;
-  /** It is refused rather than started later than this; no limit when absent. */
+  /** It is refused rather than started after this; no limit when absent. */
   readonly startBy?: number;
-  /** How long it is expected to take; what calls here take when absent. */
+  /** Its expected duration; the average of the upstream when absent. */
   readonly expectedMilliseconds?: number;
-  /** False when the call goes elsewhere rather than wait; true when absent. */
+  /** False when the call must not be queued; true when absent. */
   readonly mayWait?: boolean;
 }
 
-/** The time by which a waiting call must be expected to be answered. */
+/** The latest time at which the answer to a waiting call may be expected. */
 export function waitsUntil({deadline, usefulUntil}: WaitingCall): number {
   return Math.min(deadline, usefulUntil ?? deadline);
 }
 
-/** Whether a waiting call had better be refused than started at a time. */
+/** Whether it is too late to start a call at a given time. */
 export function isTooLateFor(
   call: WaitingCall,
   startAt: number,
@@ -41,19 +41,19 @@
 
 interface CustomerQueue {
   readonly calls: WaitingCall[];
-  /** Work this customer has had at this priority, over its weight. */
+  /** Calls served to this customer at this priority, divided by its weight. */
   served: number;
 }
 
 interface PriorityLevel {
   readonly customers: Map<string, CustomerQueue>;
-  /** The least served of the last choices, for customers that come back. */
+  /** Service level at which customers join the level or return to it. */
   virtualTime: number;
 }
 
 /**
- * Start-time fair queueing in each priority level: the customer served least,
- * by weight, is next, and of its calls the one with the nearest deadline.
+ * Start-time fair queueing in each priority level: the customer with the least
+ * weighted service is next, with its call of the nearest deadline.
  */
 export class FairQueue {
   private readonly levels = new Map<number, PriorityLevel>();
@@ -63,12 +63,12 @@
     return this.byId.size;
   }
 
-  /** All that wait, in no order. */
+  /** All waiting calls, in no particular order. */
   all(): readonly WaitingCall[] {
     return [...this.byId.values()];
   }
 
-  /** Calls of one customer that wait. */
+  /** Number of waiting calls of a customer. */
   waitingOf(customer: string): number {
     let count = 0;
     for (const level of this.levels.values()) {
@@ -87,8 +87,8 @@
   }
 
   /**
-   * Calls that would be served before a new one: all more urgent ones, and of
-   * those as urgent no more than fair turns let past.
+   * Number of calls served before a new one: all more urgent ones, and of
+   * equally urgent ones as many as fair queueing serves first.
    */
   aheadOf(call: WaitingCall): number {
     let moreUrgent = 0;
@@ -122,7 +122,7 @@
     this.byId.set(call.id, call);
   }
 
-  /** Takes the next call out. */
+  /** Removes and returns the next call. */
   take(): WaitingCall | undefined {
     const priorities = [...this.levels.keys()].sort((a, b) => a - b);
     for (const priority of priorities) {
@@ -135,7 +135,7 @@
     return undefined;
   }
 
-  /** Takes one call out; false when it does not wait here. */
+  /** Removes a call; false if it is not waiting. */
   remove(id: string): boolean {
     const call = this.byId.get(id);
     if (call === undefined) {
@@ -152,39 +152,40 @@
     return true;
   }
 
-  /** The call a more urgent one may displace: the least urgent, latest due. */
+  /** The call that a more urgent one may displace: least urgent, latest due. */
   leastUrgent(): WaitingCall | undefined {
-    let found: WaitingCall | undefined;
+    let selected: WaitingCall | undefined;
     for (const call of this.byId.values()) {
-      if (found === undefined || isLessUrgent(call, found)) {
-        found = call;
+      if (selected === undefined || isLessUrgent(call, selected)) {
+        selected = call;
       }
     }
-    return found;
+    return selected;
   }
 
   /**
-   * The call that one of a customer with fewer waiting calls may displace: the
-   * latest due of the customer that has most, among no more urgent ones.
+   * The call that a call of a customer with fewer waiting calls may displace:
+   * the latest due of the customer with the longest weighted queue, among calls
+   * that are not more urgent.
    */
   mostCrowding(call: WaitingCall): WaitingCall | undefined {
-    const least = (this.waitingOf(call.customer) + 1) / call.weight;
-    let most = least;
-    let found: WaitingCall | undefined;
+    const ownLoad = (this.waitingOf(call.customer) + 1) / call.weight;
+    let highest = ownLoad;
+    let selected: WaitingCall | undefined;
     for (const [priority, {customers}] of this.levels) {
       for (const {calls} of customers.values()) {
         const last = calls.at(-1);
-        const crowd = calls.length / (last?.weight ?? 1);
-        if (priority >= call.priority && crowd > most) {
-          most = crowd;
-          found = last;
+        const load = calls.length / (last?.weight ?? 1);
+        if (priority >= call.priority && load > highest) {
+          highest = load;
+          selected = last;
         }
       }
     }
-    return found;
+    return selected;
   }
 
-  /** Calls whose answer would come too late even if they ran now. */
+  /** Calls that are too late even if they start now. */
   overdue(
     now: number,
     needed: (call: WaitingCall) => number,
@@ -193,26 +194,26 @@
   }
 
   private level(priority: number): PriorityLevel {
-    const found = this.levels.get(priority);
-    if (found !== undefined) {
-      return found;
+    const existing = this.levels.get(priority);
+    if (existing !== undefined) {
+      return existing;
     }
-    const made: PriorityLevel = {customers: new Map(), virtualTime: 0};
-    this.levels.set(priority, made);
-    return made;
+    const created: PriorityLevel = {customers: new Map(), virtualTime: 0};
+    this.levels.set(priority, created);
+    return created;
   }
 
   private takeFrom(level: PriorityLevel): WaitingCall | undefined {
-    let least: [string, CustomerQueue] | undefined;
+    let lowest: [string, CustomerQueue] | undefined;
     for (const candidate of level.customers) {
-      if (least === undefined || candidate[1].served < least[1].served) {
-        least = candidate;
+      if (lowest === undefined || candidate[1].served < lowest[1].served) {
+        lowest = candidate;
       }
     }
-    if (least === undefined) {
+    if (lowest === undefined) {
       return undefined;
     }
-    const [customer, queue] = least;
+    const [customer, queue] = lowest;
     const call = queue.calls.shift() as WaitingCall;
     level.virtualTime = queue.served;
     queue.served += 1 / call.weight;
--- a/packages/brain/src/entry/answeredAttempts.ts
+++ b/packages/brain/src/entry/answeredAttempts.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** What becomes of answers, and of attempts that take far too long for one. */
+/** Handles answers and overdue attempts. */
 
 import type {RandomSource} from '@lockpin/types';
 import {FIRST_FAILED_STATUS} from '@lockpin/utils';
@@ -12,7 +12,7 @@
 import type {RetryPolicy} from './retryPolicy.js';
 import type {UpstreamChooser} from './upstreamChooser.js';
 
-/** What decides on answers. */
+/** Dependencies of the answer handler. */
 export interface AnsweredAttemptsContext {
   readonly retries: RetryPolicy;
   readonly books: CallBooks;
@@ -22,28 +22,28 @@
   readonly overdueAttempts: OverdueAttempts;
 }
 
-/** Passes answers on, or sets them aside for another attempt. */
+/** Passes answers to the caller, or keeps them while another attempt runs. */
 export class AnsweredAttempts {
   constructor(private readonly context: AnsweredAttemptsContext) {}
 
-  /** The attempt under way is overdue: the call is offered elsewhere too. */
+  /** Hedges an overdue attempt with a second one elsewhere. */
   overdue(
     now: number,
     random: RandomSource,
     state: CallState,
   ): readonly EntryAction[] {
     const {overdueAttempts, offers} = this.context;
-    const again = overdueAttempts.offerElsewhere(now, random, state);
-    if (again === undefined) {
+    const candidate = overdueAttempts.offerElsewhere(now, random, state);
+    if (candidate === undefined) {
       return [];
     }
     return [
       {kind: 'keep-overdue', callId: state.call.id},
-      offers.send(state, again.name, again.box, again.name),
+      offers.send(state, candidate.name, candidate.box, candidate.name),
     ];
   }
 
-  /** An attempt that was overdue is answered after all. */
+  /** Passes the answer of an overdue attempt on, unless it is a failure. */
   overdueAnswered(
     now: number,
     state: CallState,
@@ -63,7 +63,7 @@
     ];
   }
 
-  /** A failure may be retried; any other answer goes to the caller. */
+  /** Retries a failure where possible; passes any other answer on. */
   answered(
     now: number,
     random: RandomSource,
@@ -82,10 +82,12 @@
       retries.mayRepeat(state) &&
       retries.payRetry(now, state)
     ) {
-      const again = chooser.untried(now, random, state);
-      if (again !== undefined) {
+      const candidate = chooser.untried(now, random, state);
+      if (candidate !== undefined) {
         state.hasSpareAnswer = true;
-        return [offers.send(state, again.name, again.box, again.name)];
+        return [
+          offers.send(state, candidate.name, candidate.box, candidate.name),
+        ];
       }
     }
     const pass: EntryAction = {kind: 'pass-answer', callId};
--- a/packages/brain/src/entry/attemptTiming.ts
+++ b/packages/brain/src/entry/attemptTiming.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** How long an attempt may take before something is done about it. */
+/** Time limits of attempts, derived from the durations of earlier calls. */
 
 import {TypicalDurations} from '@lockpin/routing';
 import type {CallState} from './callState.js';
@@ -7,21 +7,21 @@
 import type {RetryPolicy} from './retryPolicy.js';
 
 /**
- * An attempt of a repeatable call is overdue after this many times its usual
- * duration: three in a hundred calls of healthy upstreams take that long.
+ * An attempt of a repeatable call is overdue after this multiple of its typical
+ * duration: 3 % of the calls of healthy upstreams take that long.
  */
 const OVERDUE_FACTOR = 2.5;
 
-/** Share of the route's goal after which an attempt is overdue at the latest. */
+/** Share of the route's latency goal after which any attempt is overdue. */
 const OVERDUE_GOAL_SHARE = 0.55;
 
-/** Earlier than this, a scheduling delay could be the cause. */
+/** Shorter delays may be caused by scheduling. */
 const SHORTEST_OVERDUE_MILLISECONDS = 60;
 
-/** The wait for a guard's answer grows up to eight times within one call. */
-const MOST_SILENCE_DOUBLINGS = 3;
+/** The acknowledgement timeout grows up to eightfold within one call. */
+const MAXIMUM_ACKNOWLEDGEMENT_DOUBLINGS = 3;
 
-/** Learns how long calls take, and sets the limits of the next ones by it. */
+/** Records durations of calls and computes the time limits of new attempts. */
 export class AttemptTiming {
   private readonly durations = new TypicalDurations();
 
@@ -30,38 +30,43 @@
     private readonly retries: RetryPolicy,
   ) {}
 
-  /** A call of a route was answered well. */
+  /** Records the duration of a successful call. */
   answered(route: string, milliseconds: number): void {
     this.durations.add(route, milliseconds);
   }
 
-  /** How long calls of a route usually take; undefined when not yet known. */
+  /** Typical duration of the calls of a route; undefined when not yet known. */
   usual(route: string): number | undefined {
     return this.durations.of(route);
   }
 
-  /** After some silences, the way from here is slow rather than a guard dead. */
+  /**
+   * Acknowledgement timeout of the next offer. It doubles with each offer that
+   * was not acknowledged: after several, a slow network is likelier than dead
+   * guards.
+   */
   silenceAfter({silences}: CallState): number {
-    const doublings = Math.min(silences, MOST_SILENCE_DOUBLINGS);
+    const doublings = Math.min(silences, MAXIMUM_ACKNOWLEDGEMENT_DOUBLINGS);
     return this.settings.silenceMilliseconds * 2 ** doublings;
   }
 
-  /** Only calls that can be sent elsewhere are ever overdue. */
+  /** Time until an attempt is overdue; undefined if it cannot be hedged. */
   overdueAfter(state: CallState): number | undefined {
     const {replacesOverdue} = this.settings;
-    const mayReplace =
+    const mayHedge =
       this.retries.mayRepeat(state) && this.retries.mayPay(state, 1);
-    if (!replacesOverdue || !mayReplace) {
+    if (!replacesOverdue || !mayHedge) {
       return undefined;
     }
     const {name, spec} = state.call.route;
     const goal = spec.goalMilliseconds ?? spec.waitMilliseconds;
     const latest = goal * OVERDUE_GOAL_SHARE;
-    const usual = this.usual(name);
-    const usualLimit = usual === undefined ? latest : usual * OVERDUE_FACTOR;
+    const typical = this.usual(name);
+    const typicalLimit =
+      typical === undefined ? latest : typical * OVERDUE_FACTOR;
     return Math.max(
       SHORTEST_OVERDUE_MILLISECONDS,
-      Math.min(latest, usualLimit),
+      Math.min(latest, typicalLimit),
     );
   }
 }
--- a/packages/brain/src/entry/callBooks.ts
+++ b/packages/brain/src/entry/callBooks.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** The books of an entry's calls, from their arrival to how they end. */
+/** Registry of the open calls of an entry. */
 
 import {CustomerShares, DEFAULT_ENTRY_CAPACITY} from '@lockpin/admission';
 import type {UpstreamLoads} from '@lockpin/routing';
@@ -8,7 +8,7 @@
 import type {EntryAction, EntryCall} from './entryMessages.js';
 import type {OverdueAttempts} from './overdueAttempts.js';
 
-/** Knows the calls under way; closes them with their refusals. */
+/** Keeps the open calls and closes them, with a refusal where necessary. */
 export class CallBooks {
   private readonly calls = new Map<string, CallState>();
   private readonly shares = new CustomerShares(DEFAULT_ENTRY_CAPACITY);
@@ -18,36 +18,36 @@
     private readonly overdueAttempts: OverdueAttempts,
   ) {}
 
-  /** Calls that have not ended. */
+  /** Open calls. */
   get count(): number {
     return this.calls.size;
   }
 
-  /** Calls that have not ended and of which something holds. */
-  countOf(holds: (state: CallState) => boolean): number {
+  /** Open calls that match a predicate. */
+  countOf(predicate: (state: CallState) => boolean): number {
     let count = 0;
     for (const state of this.calls.values()) {
-      count += holds(state) ? 1 : 0;
+      count += predicate(state) ? 1 : 0;
     }
     return count;
   }
 
-  /** The state of a call that has not ended. */
+  /** The state of an open call. */
   get(callId: string): CallState | undefined {
     return this.calls.get(callId);
   }
 
-  /** Whether a customer's share has room for a call; takes it when so. */
+  /** Takes room for a call in its customer's share; false if there is none. */
   takeShare({customer, bytes}: EntryCall): boolean {
     return this.shares.take(customer, bytes);
   }
 
-  /** A call is under way. */
+  /** Adds an open call. */
   add(state: CallState): void {
     this.calls.set(state.call.id, state);
   }
 
-  /** The overdue attempt came to nothing: what was held for it is told. */
+  /** The overdue attempt failed: reports the outcome that waited for it. */
   overdueEnded(state: CallState): readonly EntryAction[] {
     this.overdueAttempts.over(state);
     const {pending} = state;
@@ -61,13 +61,16 @@
     return [pending];
   }
 
-  /** Only a key that was never sent before has certainly not run. */
+  /**
+   * Refuses a once-only call. Its outcome is 'not-run' only if its key was
+   * never sent before; otherwise an earlier call may have run.
+   */
   homeRefusal(state: CallState, reason: RefusalReason): readonly EntryAction[] {
-    const isCertain = state.call.isFirstWithKey && !state.mayHaveRun;
-    return this.final(state, reason, isCertain ? 'not-run' : 'unknown', 0);
+    const hasNotRun = state.call.isFirstWithKey && !state.mayHaveRun;
+    return this.final(state, reason, hasNotRun ? 'not-run' : 'unknown', 0);
   }
 
-  /** Refuses a call for good, and says truly whether it may have run. */
+  /** Refuses a call, with an outcome that tells whether it may have run. */
   finalRefusal(
     state: CallState,
     reason: RefusalReason,
@@ -77,7 +80,7 @@
     return this.final(state, reason, outcome, retryAfter);
   }
 
-  /** Refuses a call, once its overdue attempt came to nothing as well. */
+  /** Refuses a call; waits for its overdue attempt first if there is one. */
   final(
     state: CallState,
     reason: RefusalReason,
@@ -85,24 +88,24 @@
     retryAfter: number,
   ): readonly EntryAction[] {
     const {id: callId} = state.call;
-    // What an upstream said is truer than what is guessed here, and ready.
-    const last: EntryAction = state.hasSpareAnswer
+    // The failed answer of an upstream tells more than a refusal of the entry.
+    const action: EntryAction = state.hasSpareAnswer
       ? {kind: 'pass-spare-answer', callId}
       : refuse(callId, reason, outcome, retryAfter);
     if (state.overdueAt !== undefined) {
       this.attemptEnded(state);
-      state.pending = last;
+      state.pending = action;
       return [];
     }
-    if (last.kind === 'refuse') {
+    if (action.kind === 'refuse') {
       this.ended(state);
     } else {
       this.attemptEnded(state);
     }
-    return [last];
+    return [action];
   }
 
-  /** Forgets a call; nothing more is to be done for it. */
+  /** Closes a call and releases its resources. */
   ended(state: CallState): readonly EntryAction[] {
     this.attemptEnded(state);
     this.overdueAttempts.over(state);
@@ -111,7 +114,7 @@
     return [];
   }
 
-  /** The attempt under way no longer counts as load. */
+  /** Stops counting the current attempt as load of its upstream. */
   attemptEnded(state: CallState): void {
     if (state.isAttempting) {
       state.isAttempting = false;
@@ -120,7 +123,7 @@
   }
 }
 
-/** Refuses a call. */
+/** Creates the action that refuses a call. */
 export function refuse(
   callId: string,
   reason: RefusalReason,
--- a/packages/brain/src/entry/callOffers.ts
+++ b/packages/brain/src/entry/callOffers.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Where an entry offers its calls, round after round, until it gives one up. */
+/** Offers calls to upstreams in rounds, with pauses, until one takes them. */
 
 import type {UpstreamLoads} from '@lockpin/routing';
 import type {RandomSource, RefusalReason} from '@lockpin/types';
@@ -16,13 +16,13 @@
 import type {EntrySettings} from './entrySettings.js';
 import type {UpstreamChooser} from './upstreamChooser.js';
 
-/** When a caller that found no upstream may come back, in milliseconds. */
+/** Retry-after of calls for which there is no upstream. */
 export const NO_UPSTREAM_RETRY_MILLISECONDS = 500;
 
-/** Part of the shortest wait that guards told of, after which a call asks again. */
+/** Share of the shortest wait reported by guards after which to ask again. */
 const WAIT_SHARE = 0.5;
 
-/** What the offers of an entry go by. */
+/** Dependencies of the offers. */
 export interface CallOffersContext {
   readonly boxes: BoxKnowledge;
   readonly settings: EntrySettings;
@@ -32,11 +32,13 @@
   readonly timing: AttemptTiming;
 }
 
-/** Makes the offers of calls, and ends their rounds. */
+/** Makes offers, and pauses or refuses a call when a round has failed. */
 export class CallOffers {
   constructor(private readonly context: CallOffersContext) {}
 
-  /** Offers a call to the next upstream, or gives it up for now. */
+  /**
+   * Offers a call to the next upstream; pauses or refuses it if there is none.
+   */
   next(
     now: number,
     random: RandomSource,
@@ -56,12 +58,14 @@
     return [this.send(state, chosen.name, chosen.box, chosen.name)];
   }
 
-  /** How much longer no upstream is to run the call, in milliseconds; 0 if one may. */
+  /** Remaining quarantine of the call in milliseconds; 0 if it may run. */
   quarantinedFor(now: number, {call}: CallState): number {
     return this.context.settings.quarantinedFor(now, call.requestDigest);
   }
 
-  /** Upstreams may free slots soon: hold the call a little, but not for long. */
+  /**
+   * Pauses a call, since slots may be freed soon, but only while it may wait.
+   */
   pauseOrRefuse(
     now: number,
     state: CallState,
@@ -77,14 +81,14 @@
     return [{kind: 'pause', callId: state.call.id, milliseconds}];
   }
 
-  /** Asking again long before a slot is expected anywhere would be in vain. */
+  /** Asking again long before a slot is expected anywhere would be useless. */
   private pauseBefore({pauses, shortestWait}: CallState): number {
     const {pauseMilliseconds} = this.context.settings;
-    const told = Number.isFinite(shortestWait) ? shortestWait : 0;
-    return Math.max(pauseMilliseconds * 2 ** pauses, told * WAIT_SHARE);
+    const reportedWait = Number.isFinite(shortestWait) ? shortestWait : 0;
+    return Math.max(pauseMilliseconds * 2 ** pauses, reportedWait * WAIT_SHARE);
   }
 
-  /** A new round of offers begins. */
+  /** Starts a new round of offers. */
   pauseEnded(
     now: number,
     random: RandomSource,
@@ -144,7 +148,7 @@
     };
   }
 
-  /** A caller is told soon that nothing was free, while it can still act on it. */
+  /** Limits the wait so that a refused caller still has time to try again. */
   private startBy({mayHaveRun, heldUntil}: CallState): number | undefined {
     const isHeld = this.context.settings.heldShare > 0 && !mayHaveRun;
     return isHeld ? heldUntil : undefined;
--- a/packages/brain/src/entry/callState.ts
+++ b/packages/brain/src/entry/callState.ts
@@ -1,41 +1,42 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** What an entry keeps of a call from its arrival to its end. */
+/** State that an entry keeps of a call from its arrival to its end. */
 
 import type {EntryAction, EntryCall, OfferTerms} from './entryMessages.js';
 import type {EntrySettings} from './entrySettings.js';
 import type {RetryState} from './retryPolicy.js';
 
-/** Changes with each event of the call. */
+/** State of one open call. */
 export interface CallState extends RetryState {
-  /** Upstreams that an offer on the present terms was made to. */
+  /** Upstreams that got an offer on the current terms. */
   tried: Set<string>;
   /** Upstreams that may have run the call. */
   readonly ran: Set<string>;
   terms: OfferTerms;
-  /** A guard had no slot for it in the time in which an answer is worth most. */
+  /** A guard refused it because no slot was expected in time. */
   isShortOfTime: boolean;
-  /** Offers of this call that no guard answered. */
+  /** Offers that were not acknowledged. */
   silences: number;
-  /** Rounds of offers in vain. */
+  /** Rounds of offers that were refused throughout. */
   pauses: number;
-  /** The shortest wait for a slot that a guard told in this round, in milliseconds. */
+  /** Shortest wait for a slot reported in this round, in milliseconds. */
   shortestWait: number;
-  /** Until then it may be held without an offer that was taken. */
+  /** Until then the call may wait for a slot, in milliseconds since 1970. */
   readonly heldUntil: number;
+  /** The upstream of the latest attempt. */
   upstream: string;
-  /** The upstream of an attempt that goes on though it is overdue. */
+  /** The upstream of an overdue attempt that is still running. */
   overdueAt: string | undefined;
-  /** What the caller is told unless the overdue attempt is answered. */
+  /** The outcome to report unless the overdue attempt succeeds. */
   pending: EntryAction | undefined;
-  /** An attempt that may have run is behind us. */
+  /** An earlier attempt may have run. */
   mayHaveRun: boolean;
-  /** A whole answer, a failure, is at hand; another attempt was made for a better one. */
+  /** A failed answer is buffered, to be passed on unless a retry succeeds. */
   hasSpareAnswer: boolean;
-  /** An attempt is under way. */
+  /** The latest attempt has not ended. */
   isAttempting: boolean;
 }
 
-/** The state of a call that has just arrived. */
+/** Creates the state of a call that has just arrived. */
 export function arrivedCall(
   now: number,
   call: EntryCall,
@@ -62,13 +63,13 @@
   };
 }
 
-/** Offers on other terms begin anew with all upstreams. */
+/** Changes the terms of a call; all upstreams may be offered it again. */
 export function setTerms(state: CallState, terms: OfferTerms): void {
   state.terms = terms;
   state.tried = new Set();
 }
 
-/** A call that found no slot at first, or takes too long where it runs. */
+/** Whether a call got no slot on the initial terms or is overdue. */
 export function isHeldUp(state: CallState, firstTerms: OfferTerms): boolean {
   const {terms, pauses, overdueAt} = state;
   return terms !== firstTerms || pauses > 0 || overdueAt !== undefined;
--- a/packages/brain/src/entry/entryBrain.ts
+++ b/packages/brain/src/entry/entryBrain.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** The entry of a node: routes calls, retries them, and refuses truthfully. */
+/** Routes and retries the calls of a node, or refuses them. */
 
 import {UpstreamLoads} from '@lockpin/routing';
 import type {RoutingCandidate} from '@lockpin/routing';
@@ -25,17 +25,17 @@
 import {UpstreamChooser} from './upstreamChooser.js';
 import type {ChosenCall} from './upstreamChooser.js';
 
-/** When a caller over its share may come back, in milliseconds. */
+/** Retry-after of calls whose customer is over its share. */
 const OVER_SHARE_RETRY_MILLISECONDS = 100;
 
-/** Decides by (now, random, event) alone. */
+/** Deterministic state machine: time and randomness come in with each event. */
 export class EntryBrain {
   readonly loads: UpstreamLoads;
   private readonly retries: RetryPolicy;
-  private readonly books: CallBooks;
+  private readonly calls: CallBooks;
   private readonly chooser: UpstreamChooser;
   private readonly offers: CallOffers;
-  private readonly news: AttemptNews;
+  private readonly feedback: AttemptNews;
   private readonly overdueAttempts: OverdueAttempts;
   private readonly answers: AnsweredAttempts;
 
@@ -48,47 +48,60 @@
     const loads = new UpstreamLoads(settings.linkPatience);
     const retries = new RetryPolicy(settings);
     const timing = new AttemptTiming(settings, retries);
-    const place = {box, dataCentre, boxes, loads};
-    const chooser = new UpstreamChooser({...place, settings});
-    const news = new AttemptNews(loads, timing);
+    const environment = {box, dataCentre, boxes, loads};
+    const chooser = new UpstreamChooser({...environment, settings});
+    const feedback = new AttemptNews(loads, timing);
     const overdueAttempts = new OverdueAttempts(loads, retries, chooser);
-    const books = new CallBooks(loads, overdueAttempts);
-    const means = {loads, retries, chooser, books, overdueAttempts};
-    const offers = new CallOffers({...means, boxes, settings, timing});
-    this.answers = new AnsweredAttempts({...means, offers, news});
+    const calls = new CallBooks(loads, overdueAttempts);
+    const dependencies = {
+      loads,
+      retries,
+      chooser,
+      books: calls,
+      overdueAttempts,
+    };
+    const offers = new CallOffers({...dependencies, boxes, settings, timing});
+    this.answers = new AnsweredAttempts({
+      ...dependencies,
+      offers,
+      news: feedback,
+    });
     this.loads = loads;
     this.retries = retries;
-    this.books = books;
+    this.calls = calls;
     this.chooser = chooser;
     this.offers = offers;
-    this.news = news;
+    this.feedback = feedback;
     this.overdueAttempts = overdueAttempts;
   }
 
-  /** Calls that began here and were not taken by the first upstream they went to. */
+  /** Open calls that got no slot on the initial terms or are overdue. */
   get heldUpCalls(): number {
     const {firstTerms} = this.settings;
-    return this.books.countOf((state) => isHeldUp(state, firstTerms));
+    return this.calls.countOf((state) => isHeldUp(state, firstTerms));
   }
 
+  /** Open calls. */
   get callCount(): number {
-    return this.books.count;
+    return this.calls.count;
   }
 
-  /** Takes in an event; events of calls that have ended lead to nothing. */
+  /** Processes an event; events of calls that have ended yield no actions. */
   handle(
     now: number,
     random: RandomSource,
     event: EntryEvent,
   ): readonly EntryAction[] {
     if (event.kind === 'call-arrived') {
-      return this.arrived(now, random, event.call);
+      return this.handleArrival(now, random, event.call);
     }
-    const state = this.books.get(event.callId);
-    return state === undefined ? [] : this.goOn(now, random, state, event);
+    const state = this.calls.get(event.callId);
+    return state === undefined
+      ? []
+      : this.handleCallEvent(now, random, state, event);
   }
 
-  /** Chooses an upstream as a call would; used to mint once keys. */
+  /** Chooses an upstream without sending a call; used to issue once keys. */
   chooseFor(
     now: number,
     random: RandomSource,
@@ -98,28 +111,27 @@
     return this.chooser.choose(now, random, call, tried);
   }
 
-  private arrived(
+  private handleArrival(
     now: number,
     random: RandomSource,
     call: EntryCall,
   ): readonly EntryAction[] {
-    if (!this.books.takeShare(call)) {
+    if (!this.calls.takeShare(call)) {
       const after = OVER_SHARE_RETRY_MILLISECONDS;
       return [refuse(call.id, 'customer-over-share', 'not-run', after)];
     }
     this.retries.firstAttempt(now, call);
     const state = arrivedCall(now, call, this.settings);
-    this.books.add(state);
+    this.calls.add(state);
     if (now >= call.deadline) {
-      return this.books.finalRefusal(state, 'deadline-passed');
+      return this.calls.finalRefusal(state, 'deadline-passed');
     }
     return call.onceKey === undefined
       ? this.offers.next(now, random, state, 'no-upstream')
       : this.offers.attemptAtHome(state, call.onceKey);
   }
 
-  /** Something happened to a call that has not ended. */
-  private goOn(
+  private handleCallEvent(
     now: number,
     random: RandomSource,
     state: CallState,
@@ -129,42 +141,42 @@
       case 'attempt-answered':
         return this.answers.answered(now, random, state, event);
       case 'attempt-refused':
-        this.books.attemptEnded(state);
-        this.news.refusalHeard(now, state, event);
-        return this.refused(now, random, state, event.refusal);
+        this.calls.attemptEnded(state);
+        this.feedback.refusalHeard(now, state, event);
+        return this.handleRefusal(now, random, state, event.refusal);
       case 'attempt-lost':
-        this.books.attemptEnded(state);
+        this.calls.attemptEnded(state);
         this.loads.linkFailed(state.upstream, now, random());
-        return this.lost(now, random, state, event.wasSent);
+        return this.handleLostAttempt(now, random, state, event.wasSent);
       case 'pause-ended':
         return this.offers.pauseEnded(now, random, state);
       case 'attempt-silent':
-        return this.silent(now, random, state);
+        return this.handleUnacknowledged(now, random, state);
       case 'attempt-overdue':
         return this.answers.overdue(now, random, state);
       case 'overdue-answered':
         return this.answers.overdueAnswered(now, state, event);
       case 'overdue-ended':
-        return this.books.overdueEnded(state);
+        return this.calls.overdueEnded(state);
       case 'given-up':
-        return this.givenUp(now, random, state, event);
+        return this.handleAbort(now, random, state, event);
       case 'caller-left':
         return [
           ...this.overdueAttempts.cancelAll(state),
-          ...this.books.ended(state),
+          ...this.calls.ended(state),
         ];
       case 'answer-ended':
-        return this.books.ended(state);
+        return this.calls.ended(state);
     }
   }
 
-  /** The guard said nothing, and was not told to go: the call did not run. */
-  private silent(
+  /** A guard that was never told to start the call cannot have run it. */
+  private handleUnacknowledged(
     now: number,
     random: RandomSource,
     state: CallState,
   ): readonly EntryAction[] {
-    this.books.attemptEnded(state);
+    this.calls.attemptEnded(state);
     state.silences += 1;
     this.loads.linkFailed(state.upstream, now, random());
     const cancel: EntryAction = {
@@ -183,7 +195,7 @@
     return [cancel, ...next];
   }
 
-  private refused(
+  private handleRefusal(
     now: number,
     random: RandomSource,
     state: CallState,
@@ -199,7 +211,7 @@
       state.ran.add(state.upstream);
     }
     if (state.call.onceKey !== undefined) {
-      return this.books.final(state, reason, outcome, retryAfterMilliseconds);
+      return this.calls.final(state, reason, outcome, retryAfterMilliseconds);
     }
     if (this.retries.mayGoElsewhere(now, state, refusal)) {
       return this.offers.next(
@@ -212,10 +224,10 @@
     }
     return this.settings.freeRefusals.has(reason)
       ? this.offers.pauseOrRefuse(now, state, reason, retryAfterMilliseconds)
-      : this.books.finalRefusal(state, reason, retryAfterMilliseconds);
+      : this.calls.finalRefusal(state, reason, retryAfterMilliseconds);
   }
 
-  private lost(
+  private handleLostAttempt(
     now: number,
     random: RandomSource,
     state: CallState,
@@ -226,7 +238,7 @@
       state.ran.add(state.upstream);
     }
     if (state.call.onceKey !== undefined) {
-      return this.books.homeRefusal(
+      return this.calls.homeRefusal(
         state,
         wasSent ? 'guard-lost' : 'once-home-unreachable',
       );
@@ -239,10 +251,10 @@
     ) {
       return this.offers.next(now, random, state, reason);
     }
-    return this.books.finalRefusal(state, reason);
+    return this.calls.finalRefusal(state, reason);
   }
 
-  private givenUp(
+  private handleAbort(
     now: number,
     random: RandomSource,
     state: CallState,
@@ -258,8 +270,8 @@
     const after = this.offers.quarantinedFor(now, state);
     const refusal =
       onceKey === undefined
-        ? this.books.finalRefusal(state, reason, after)
-        : this.books.homeRefusal(state, reason);
+        ? this.calls.finalRefusal(state, reason, after)
+        : this.calls.homeRefusal(state, reason);
     return [...cancels, ...refusal];
   }
 }
--- a/packages/brain/src/entry/entryMessages.ts
+++ b/packages/brain/src/entry/entryMessages.ts
@@ -1,61 +1,61 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** What an entry is told about its calls, and what it decides. */
+/** Events that the entry processes and actions that it returns. */
 
 import type {ServiceView} from '@lockpin/configuration';
 import type {OnceKey} from '@lockpin/once';
 import type {LoadHint} from '@lockpin/routing';
 import type {Refusal, Resource} from '@lockpin/types';
 
-/** A call as it reaches the entry. */
+/** A call as it arrives at the entry. */
 export interface EntryCall {
   readonly id: string;
   readonly view: ServiceView;
   readonly route: Resource<'Route'>;
-  /** The customer that calls; it need not own the service. */
+  /** The calling customer; it need not own the service. */
   readonly customer: string;
-  /** The same for all requests that an upstream cannot tell apart; empty if unknown. */
+  /** Equal for requests that look the same to an upstream; empty if unknown. */
   readonly requestDigest: string;
-  /** Bytes of body that the entry holds for it. */
+  /** Bytes of request body that the entry buffers. */
   readonly bytes: number;
   /** In milliseconds since 1970. */
   readonly deadline: number;
-  /** Present exactly on once-only calls. */
+  /** Set exactly on once-only calls. */
   readonly onceKey: OnceKey | undefined;
-  /** The caller says that no call with this key was ever sent before. */
+  /** The caller states that it never sent a call with this key before. */
   readonly isFirstWithKey: boolean;
-  /** The body is still at hand, so that the call can be sent again. */
+  /** The body is still buffered, so the call can be sent again. */
   readonly isReplayable: boolean;
-  /** The caller, itself behind lockpin, is already repeating a call. */
+  /** The caller, itself called through lockpin, is handling a retry. */
   readonly isCallersRetry: boolean;
   /**
-   * The upstream on this box is working on a repeat, and may be the caller: then
-   * this call is made a second time too, and its service counts it as a repeat.
+   * The upstream on this box is processing a repeat and may be the caller. This
+   * call may then be a repeat as well, and counts as one in the retry budget.
    */
   readonly mayBeRepeat?: boolean;
 }
 
-/** Whether a guard may let a call wait, or run it on a doubted upstream. */
+/** Whether a guard may queue a call, or run it on a doubted upstream. */
 export type OfferTerms =
-  /** Only with a free slot of an upstream in good standing. */
+  /** Only in a free slot of an upstream that accepts ordinary work. */
   | 'immediate'
-  /** Also after waiting. */
+  /** Also after waiting in the queue. */
   | 'may-wait'
-  /** Also when its answer will be late: behind all that can be in time. */
+  /** Also when the answer will be late; calls that can be in time go first. */
   | 'may-be-late'
-  /** Whatever the upstream's standing: nothing better is left. */
+  /** Whatever the state of the upstream, because no other is left. */
   | 'last-resort';
 
-/** What happens to a call. */
+/** An event of a call. */
 export type EntryEvent =
   | {readonly kind: 'call-arrived'; readonly call: EntryCall}
   | {
       readonly kind: 'attempt-answered';
       readonly callId: string;
       readonly status: number;
-      /** The answer is whole and at hand; false when it is already flowing. */
+      /** The answer is buffered completely; false when it is being streamed. */
       readonly isWhole: boolean;
       readonly hint: LoadHint | undefined;
-      /** How long the upstream took; undefined when the guard did not say. */
+      /** Run time at the upstream; undefined when not reported. */
       readonly ranMilliseconds: number | undefined;
     }
   | {
@@ -71,13 +71,13 @@
       /** False only when the guard cannot have received it. */
       readonly wasSent: boolean;
     }
-  /** The pause after a round of offers in vain is over. */
+  /** The pause after a round of refused offers has ended. */
   | {readonly kind: 'pause-ended'; readonly callId: string}
-  /** The guard neither started the call nor let it wait within its time. */
+  /** The guard neither started nor queued the call within the time allowed. */
   | {readonly kind: 'attempt-silent'; readonly callId: string}
-  /** The attempt takes far longer than such calls usually do. */
+  /** The attempt exceeded its overdue limit. */
   | {readonly kind: 'attempt-overdue'; readonly callId: string}
-  /** The attempt that was overdue was answered after all. */
+  /** The overdue attempt was answered. */
   | {
       readonly kind: 'overdue-answered';
       readonly callId: string;
@@ -85,48 +85,49 @@
       readonly hint: LoadHint | undefined;
       readonly ranMilliseconds: number | undefined;
     }
-  /** The attempt that was overdue ended without an answer. */
+  /** The overdue attempt ended without an answer. */
   | {readonly kind: 'overdue-ended'; readonly callId: string}
   | {
       readonly kind: 'given-up';
       readonly callId: string;
-      /** Its time is over, its node ends before that, or no upstream may run it. */
+      /** Deadline passed, node shutting down, or request in quarantine. */
       readonly reason:
         'deadline-passed' | 'node-leaving' | 'request-quarantined';
-      /** False when the attempt under way certainly did not begin to run. */
+      /** False only when the current attempt cannot have started to run. */
       readonly wasSent: boolean;
     }
   | {readonly kind: 'caller-left'; readonly callId: string}
-  /** The answer went to the caller to its end, or broke on the way. */
+  /** The answer was passed to the caller completely, or broke off. */
   | {readonly kind: 'answer-ended'; readonly callId: string};
 
-/** One attempt to be made. */
+/** An attempt to be made. */
 export interface Attempt {
   readonly callId: string;
   readonly call: EntryCall;
-  /** Undefined when the once key's home chooses. */
+  /** Undefined when the home box of the once key chooses. */
   readonly upstream: string | undefined;
   readonly box: string;
-  /** 1 for the first; raised only by attempts that the retry budget paid. */
+  /** 1 for the first; paid retries and a caller's own retry raise it. */
   readonly number: number;
   readonly terms: OfferTerms;
-  /** How long such calls usually take; undefined when not known. */
+  /** Typical duration of the route's calls; undefined when not known. */
   readonly expectedMilliseconds: number | undefined;
   /**
-   * Time after which the attempt counts as overdue; undefined when nothing
-   * could be done about it.
+   * Time after which the attempt counts as overdue; undefined when it could not
+   * be sent elsewhere.
    */
   readonly overdueMilliseconds: number | undefined;
   /**
-   * A call that has run nowhere yet is to have a slot by then or to come back,
-   * in milliseconds since 1970; undefined when it may wait as long as it likes.
+   * A call that has not run anywhere is refused unless it has a slot by then,
+   * in milliseconds since 1970; undefined when only its deadline limits the
+   * wait.
    */
   readonly startBy: number | undefined;
-  /** Time in which the guard has to say that it has the call. */
+  /** Time in which the guard has to acknowledge the call. */
   readonly silenceMilliseconds: number;
 }
 
-/** What an entry wants done. */
+/** An action that the entry requests. */
 export type EntryAction =
   | {readonly kind: 'attempt'; readonly attempt: Attempt}
   | {
@@ -135,24 +136,24 @@
       readonly refusal: Refusal;
     }
   | {readonly kind: 'pass-answer'; readonly callId: string}
-  /** The answer of an earlier attempt, since a later one brought none. */
+  /** Pass the failed answer of an earlier attempt: later ones had none. */
   | {readonly kind: 'pass-spare-answer'; readonly callId: string}
-  /** Tell the brain when this time is over. */
+  /** Report 'pause-ended' after this time. */
   | {
       readonly kind: 'pause';
       readonly callId: string;
       readonly milliseconds: number;
     }
   | {readonly kind: 'cancel-attempt'; readonly callId: string}
-  /** Let the attempt under way go on beside the next one. */
+  /** Keep the current attempt running beside the next one. */
   | {readonly kind: 'keep-overdue'; readonly callId: string}
   | {readonly kind: 'pass-overdue-answer'; readonly callId: string}
   | {readonly kind: 'cancel-overdue'; readonly callId: string};
 
-/** What the entry needs to know of the boxes. */
+/** The state of the boxes as far as the entry needs it. */
 export interface BoxKnowledge {
-  /** Whether a box's lockpin process is believed to be there. */
+  /** Whether the lockpin process of a box is believed to be alive. */
   readonly isUsable: (box: string) => boolean;
-  /** The process now on a box; undefined when none is known. */
+  /** Incarnation of the current process of a box; undefined when unknown. */
   readonly incarnation: (box: string) => string | undefined;
 }
--- a/packages/brain/src/entry/entrySettings.ts
+++ b/packages/brain/src/entry/entrySettings.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** What a deployment may choose of the entry's way of offering calls. */
+/** How an entry offers calls to upstreams. */
 
 import {
   DEFAULT_LINK_PATIENCE,
@@ -16,48 +16,48 @@
 import type {RefusalReason} from '@lockpin/types';
 import type {OfferTerms} from './entryMessages.js';
 
-/** The entry's way of offering calls. */
+/** Settings of an entry; a deployment chooses them. */
 export interface EntrySettings {
   readonly choose: ChooseUpstream;
   /** How many upstreams of each service an entry calls. */
   readonly subsetSizes: SubsetSizes;
   readonly linkPatience: LinkPatience;
-  /** Makes the budget that pays for the retries of one service. */
+  /** Creates the retry budget of one service. */
   readonly createBudget: () => RetryAllowance;
-  /** What the first offers of a call ask for. */
+  /** Terms of the first offers of a call. */
   readonly firstTerms: OfferTerms;
-  /** Offers in vain after which a call asks for less. */
+  /** Refused offers after which a call is offered on easier terms. */
   readonly offersOnEachTerms: number;
   /**
-   * Time in which a guard that is asked to keep a slot has to answer: a round
-   * trip and a turn of its loop, with room for a slow box.
+   * Time in which a guard has to acknowledge an offer: a round trip and one
+   * turn of its event loop, with a margin for a slow box.
    */
   readonly silenceMilliseconds: number;
-  /** Pause after a round of offers in vain; 0 to give up at once. */
+  /** First pause after a round of refused offers; 0 to refuse at once. */
   readonly pauseMilliseconds: number;
-  /** Part of its time that a call is held in vain before it is refused. */
+  /** Share of the time to its deadline for which a call waits for a slot. */
   readonly heldShare: number;
-  /** Times a call may go elsewhere without being paid for. */
+  /** Free reroutes of a call in each round of offers. */
   readonly mostReroutes: number;
-  /** Refusals after which going elsewhere costs nothing. */
+  /** Refusals after which a reroute costs no retry budget. */
   readonly freeRefusals: ReadonlySet<RefusalReason>;
-  /** How much longer no upstream is to run a request, in milliseconds; 0 if one may. */
+  /** Remaining quarantine of a request in milliseconds; 0 if it may run. */
   readonly quarantinedFor: (now: number, requestDigest: string) => number;
-  /** Whether repeatable calls that take too long are sent elsewhere. */
+  /** Whether overdue repeatable calls are hedged with a second attempt. */
   readonly replacesOverdue: boolean;
-  /** Whether a call is offered for a late answer when none in time can be had. */
+  /** Whether a call that cannot be answered in time is offered all the same. */
   readonly offersLate: boolean;
 }
 
-/** Refusals that tell of an upstream's standing: going elsewhere costs nothing. */
-const STANDING_REFUSALS: readonly RefusalReason[] = [
+/** Refusals because of an upstream's state; a reroute is free after them. */
+const UPSTREAM_STATE_REFUSALS: readonly RefusalReason[] = [
   'upstream-ejected',
   'upstream-draining',
   'node-leaving',
   'no-upstream',
 ];
 
-/** The way of a fleet whose guards limit retries themselves. */
+/** Defaults: immediate refusals, and a retry budget at the entry. */
 export const DEFAULT_ENTRY_SETTINGS: EntrySettings = {
   choose: chooseUpstream,
   subsetSizes: DEFAULT_SUBSET_SIZES,
@@ -69,30 +69,30 @@
   pauseMilliseconds: 0,
   heldShare: 0,
   mostReroutes: 3,
-  freeRefusals: new Set(STANDING_REFUSALS),
+  freeRefusals: new Set(UPSTREAM_STATE_REFUSALS),
   quarantinedFor: () => 0,
   replacesOverdue: false,
   offersLate: true,
 };
 
-/** Refusals that tell that an upstream has no slot to spare. */
+/** Refusals of upstreams that have no free slot. */
 export const FULL_REFUSALS: ReadonlySet<RefusalReason> = new Set([
   'upstream-busy',
   'queue-full',
   'deadline-too-short',
 ]);
 
-/** Refusals that hold wherever the call goes. */
+/** Refusals that every other upstream would repeat. */
 export const LASTING_REFUSALS: ReadonlySet<RefusalReason> = new Set([
   'deadline-passed',
   'request-quarantined',
   'retries-exhausted',
 ]);
 
-/** Refusals by guards that did not reach an upstream with the call. */
+/** Refusals of calls that the guard did not send to its upstream. */
 export const UNSENT_REFUSALS: ReadonlySet<RefusalReason> =
   new Set<RefusalReason>([
-    ...STANDING_REFUSALS,
+    ...UPSTREAM_STATE_REFUSALS,
     'upstream-busy',
     'retries-exhausted',
     'upstream-doubted',
--- a/packages/brain/src/entry/overdueAttempts.ts
+++ b/packages/brain/src/entry/overdueAttempts.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Attempts that take far too long, and go on beside a second one. */
+/** Hedging: a second attempt beside one that is overdue. */
 
 import type {RoutingCandidate, UpstreamLoads} from '@lockpin/routing';
 import type {RandomSource} from '@lockpin/types';
@@ -9,7 +9,7 @@
 import type {RetryPolicy} from './retryPolicy.js';
 import type {UpstreamChooser} from './upstreamChooser.js';
 
-/** At most one overdue attempt goes on for each call. */
+/** Keeps at most one overdue attempt running for each call. */
 export class OverdueAttempts {
   constructor(
     private readonly loads: UpstreamLoads,
@@ -18,9 +18,9 @@
   ) {}
 
   /**
-   * Where to offer a repeatable call too, if something pays for it. The overdue
-   * attempt goes on: its upstream may be about to answer, and breaking it off
-   * would waste its work.
+   * Chooses where to send the second attempt of a repeatable call and pays for
+   * it from the retry budget. The overdue attempt continues: its upstream may
+   * be about to answer, and cancelling it would waste the work done.
    */
   offerElsewhere(
     now: number,
@@ -35,8 +35,8 @@
       return undefined;
     }
     const excluded = new Set([...state.ran, state.upstream]);
-    const again = this.chooser.choose(now, random, state.call, excluded);
-    if (again === undefined || !this.retries.payRetry(now, state)) {
+    const candidate = this.chooser.choose(now, random, state.call, excluded);
+    if (candidate === undefined || !this.retries.payRetry(now, state)) {
       return undefined;
     }
     state.mayHaveRun = true;
@@ -44,10 +44,10 @@
     state.overdueAt = state.upstream;
     state.isAttempting = false;
     setTerms(state, 'may-wait');
-    return again;
+    return candidate;
   }
 
-  /** The overdue attempt has ended, or is given up. */
+  /** Stops counting the overdue attempt: it has ended or is cancelled. */
   over(state: CallState): void {
     if (state.overdueAt !== undefined) {
       this.loads.ended(state.overdueAt);
@@ -55,7 +55,7 @@
     }
   }
 
-  /** Breaks off all that is under way for a call. */
+  /** Cancels all running attempts of a call. */
   cancelAll(state: CallState): readonly EntryAction[] {
     const callId = state.call.id;
     return state.overdueAt === undefined
--- a/packages/brain/src/entry/retryPolicy.ts
+++ b/packages/brain/src/entry/retryPolicy.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Which calls an entry may send again, and what pays for it. */
+/** Decides which calls may be retried, within a retry budget per service. */
 
 import type {RetryAllowance} from '@lockpin/routing';
 import type {Refusal} from '@lockpin/types';
@@ -7,10 +7,10 @@
 import {LASTING_REFUSALS} from './entrySettings.js';
 import type {EntrySettings} from './entrySettings.js';
 
-/** Attempts of one call that may be paid for where its route does not say. */
-const MOST_PAID_ATTEMPTS = 3;
+/** Most paid attempts of a call; also its runs if the route sets no maximum. */
+const MAXIMUM_PAID_ATTEMPTS = 3;
 
-/** What the policy keeps of a call. */
+/** Retry state of a call. */
 export interface RetryState {
   readonly call: EntryCall;
   /** Upstreams that may have run the call. */
@@ -19,13 +19,13 @@
   reroutes: number;
 }
 
-/** One retry budget for each service. */
+/** Retry rules of an entry, with one retry budget for each service. */
 export class RetryPolicy {
   private readonly budgets = new Map<string, RetryAllowance>();
 
   constructor(private readonly settings: EntrySettings) {}
 
-  /** A call adds its route's share to the budget. */
+  /** Adds the retry share of a call's route to the budget. */
   firstAttempt(now: number, call: EntryCall): void {
     const budget = this.budget(call);
     budget.firstAttempt(now, call.route.spec.retryShare);
@@ -34,7 +34,7 @@
     }
   }
 
-  /** Whether a refused call may be sent elsewhere; pays for it when so. */
+  /** Takes a free reroute or a retry for a refused call; false if neither. */
   mayGoElsewhere(now: number, state: RetryState, refusal: Refusal): boolean {
     const {reason, outcome} = refusal;
     if (!state.call.isReplayable) {
@@ -50,31 +50,31 @@
     );
   }
 
-  /** Whether a call may run a second time at all. */
+  /** Whether a call may run more than once. */
   mayRepeat({call}: RetryState): boolean {
     return call.isReplayable && call.route.spec.repetition === 'repeatable';
   }
 
-  /** Takes one of the free changes of upstream. */
+  /** Takes one of the free reroutes of a call; false if none is left. */
   takeReroute(state: RetryState): boolean {
-    if (!state.call.isReplayable || this.isRerouted(state)) {
+    if (!state.call.isReplayable || this.isRerouteLimitReached(state)) {
       return false;
     }
     state.reroutes += 1;
     return true;
   }
 
-  /** Whether a further attempt may be paid for, beside those still running. */
+  /** Whether a call may have a further paid attempt beside those running. */
   mayPay({call, ran, paidAttempts}: RetryState, running = 0): boolean {
-    const mostRuns = call.route.spec.mostAttempts ?? MOST_PAID_ATTEMPTS;
+    const maximumRuns = call.route.spec.mostAttempts ?? MAXIMUM_PAID_ATTEMPTS;
     return (
-      paidAttempts < MOST_PAID_ATTEMPTS &&
-      ran.size + running < mostRuns &&
+      paidAttempts < MAXIMUM_PAID_ATTEMPTS &&
+      ran.size + running < maximumRuns &&
       !call.isCallersRetry
     );
   }
 
-  /** Takes one attempt out of the service's budget. */
+  /** Takes a retry from the service's budget; false if not allowed. */
   payRetry(now: number, state: RetryState): boolean {
     if (!this.mayPay(state) || !this.budget(state.call).takeRetry(now)) {
       return false;
@@ -83,17 +83,17 @@
     return true;
   }
 
-  private isRerouted({reroutes}: RetryState): boolean {
+  private isRerouteLimitReached({reroutes}: RetryState): boolean {
     return reroutes >= this.settings.mostReroutes;
   }
 
   private budget(call: EntryCall): RetryAllowance {
-    const found = this.budgets.get(call.view.name);
-    if (found !== undefined) {
-      return found;
+    const existing = this.budgets.get(call.view.name);
+    if (existing !== undefined) {
+      return existing;
     }
-    const made = this.settings.createBudget();
-    this.budgets.set(call.view.name, made);
-    return made;
+    const created = this.settings.createBudget();
+    this.budgets.set(call.view.name, created);
+    return created;
   }
 }
--- a/packages/brain/src/entry/subsetCache.ts
+++ b/packages/brain/src/entry/subsetCache.ts
@@ -1,11 +1,11 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Subsets of services, worked out once for each version of a service. */
+/** Caches the subset of each service until its configuration changes. */
 
 import type {ServiceView} from '@lockpin/configuration';
 import {chooseSubset} from '@lockpin/routing';
 import type {RoutingCandidate, SubsetSizes} from '@lockpin/routing';
 
-/** Remembers the subset of each service as long as its view stands. */
+/** Subsets by service view; a new version of a service has a new view. */
 export class SubsetCache {
   private readonly subsets = new WeakMap<
     ServiceView,
@@ -18,11 +18,11 @@
     private readonly sizes: SubsetSizes,
   ) {}
 
-  /** The upstreams in service that this entry calls. */
+  /** The in-service upstreams that this entry calls. */
   subset(view: ServiceView): readonly RoutingCandidate[] {
-    const found = this.subsets.get(view);
-    if (found !== undefined) {
-      return found;
+    const cached = this.subsets.get(view);
+    if (cached !== undefined) {
+      return cached;
     }
     const members = view.upstreams
       .filter(({spec}) => spec.state === 'in-service')
--- a/packages/brain/src/entry/upstreamChooser.ts
+++ b/packages/brain/src/entry/upstreamChooser.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Which upstream a call is offered to next, and on which terms. */
+/** Chooses the next upstream of a call and the terms of the offer. */
 
 import type {RoutingCandidate, UpstreamLoads} from '@lockpin/routing';
 import type {RandomSource} from '@lockpin/types';
@@ -9,7 +9,7 @@
 import type {EntrySettings} from './entrySettings.js';
 import {SubsetCache} from './subsetCache.js';
 
-/** Where an entry is, and what it goes by. */
+/** Location and dependencies of an entry. */
 export interface ChooserContext {
   readonly box: string;
   readonly dataCentre: string;
@@ -18,11 +18,11 @@
   readonly settings: EntrySettings;
 }
 
-/** A call as far as the choice needs it; without a route for minting keys. */
+/** The part of a call that routing needs; keys are issued without a route. */
 export type ChosenCall = Pick<EntryCall, 'view'> &
   Partial<Pick<EntryCall, 'route'>>;
 
-/** Chooses among the upstreams of the subset that this entry calls. */
+/** Chooses from the subset of upstreams that this entry calls. */
 export class UpstreamChooser {
   private readonly subsets: SubsetCache;
 
@@ -31,7 +31,7 @@
     this.subsets = new SubsetCache(box, dataCentre, settings.subsetSizes);
   }
 
-  /** The best upstream of all but those excluded. */
+  /** The best upstream that is not excluded. */
   choose(
     now: number,
     random: RandomSource,
@@ -39,10 +39,10 @@
     excluded: ReadonlySet<string>,
   ): RoutingCandidate | undefined {
     const candidates = this.candidates(call, excluded);
-    return this.among(now, random, false, candidates);
+    return this.pick(now, random, false, candidates);
   }
 
-  /** The next upstream, on easier terms when none is left on the present ones. */
+  /** The next upstream; relaxes the terms when none is left. */
   next(
     now: number,
     random: RandomSource,
@@ -56,15 +56,15 @@
     if (found !== undefined) {
       return found;
     }
-    const easier = this.easierTerms(now, state);
-    if (easier === undefined) {
+    const relaxed = this.relaxedTerms(now, state);
+    if (relaxed === undefined) {
       return undefined;
     }
-    setTerms(state, easier);
+    setTerms(state, relaxed);
     return this.next(now, random, state);
   }
 
-  /** An upstream that the call was not offered to on the present terms. */
+  /** An upstream that has not been offered the call on the current terms. */
   untried(
     now: number,
     random: RandomSource,
@@ -75,29 +75,29 @@
       const excluded = ran.size === 0 ? tried : new Set([...tried, ...ran]);
       return this.choose(now, random, call, excluded);
     }
-    const open = this.open(now, state).filter(
+    const available = this.available(now, state).filter(
       ({name}) => !tried.has(name) && this.mayTake(now, name, terms),
     );
-    return this.among(now, random, mayProbe(state), open);
+    return this.pick(now, random, mayProbe(state), available);
   }
 
-  /** An offer that asks for a free slot is not made where none was free. */
+  /** Skips full upstreams for offers that need a free slot at once. */
   private mayTake(now: number, name: string, terms: OfferTerms): boolean {
     return terms !== 'immediate' || !this.context.loads.isFull(name, now);
   }
 
   /**
-   * What to ask for when offers on the present terms were in vain. A late answer
-   * is better than none, and takes no slot from calls that can be in time. A doubted
-   * upstream is asked only when there is no other: one that is merely busy will
-   * have room again.
+   * Terms to use when all offers on the current ones were refused. A late
+   * answer is better than none, and takes no slot from calls that can be in
+   * time. A doubted upstream is used only when there is no other, since one
+   * that is merely busy will have free slots again.
    */
-  private easierTerms(now: number, state: CallState): OfferTerms | undefined {
+  private relaxedTerms(now: number, state: CallState): OfferTerms | undefined {
     switch (state.terms) {
       case 'immediate':
         return 'may-wait';
       case 'may-wait':
-        if (this.open(now, state).length === 0) {
+        if (this.available(now, state).length === 0) {
           return 'last-resort';
         }
         return this.context.settings.offersLate && state.isShortOfTime
@@ -109,15 +109,18 @@
     }
   }
 
-  /** Upstreams of the service that this entry does not route around. */
-  private open(now: number, state: CallState): readonly RoutingCandidate[] {
+  /** Upstreams of the service that this entry does not avoid. */
+  private available(
+    now: number,
+    state: CallState,
+  ): readonly RoutingCandidate[] {
     const {loads} = this.context;
     return this.candidates(state.call, state.ran).filter(
       ({name}) => !loads.isAvoided(name, now, mayProbe(state)),
     );
   }
 
-  private among(
+  private pick(
     now: number,
     random: RandomSource,
     mayProbe: boolean,
@@ -141,7 +144,7 @@
   }
 }
 
-/** A call that already failed once had better go where calls end well. */
+/** Only repeatable calls probe, and not after an attempt that failed. */
 function mayProbe({call, ran}: CallState): boolean {
   return call.route.spec.repetition === 'repeatable' && ran.size === 0;
 }
--- a/packages/routing/src/__tests__/fleetRouting.test.ts
+++ b/packages/routing/src/__tests__/fleetRouting.test.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Choices, budgets and durations of a fleet whose guards reserve slots. */
+/** Routing by score, retry budgets and typical durations. */
 
 import fc from 'fast-check';
 import {describe, expect, it} from 'vitest';
@@ -32,7 +32,7 @@
 }
 
 describe('chooseByScore', () => {
-  it('prefers the own box, then the own data centre', () => {
+  it('prefers its own box, then its own data centre', () => {
     const far = candidate('far', {dataCentre: 'd2'});
     const near = candidate('near');
     const own = candidate('own');
@@ -40,14 +40,14 @@
     expect(chooseByScore(context(), [far, near])).toBe(near);
   });
 
-  it('goes to another data centre rather than wait', () => {
+  it('leaves the data centre when its upstreams are full', () => {
     const loads = new UpstreamLoads();
     loads.heard('near', NOW, {state: 'accepting', occupied: 4, limit: 4});
     const far = candidate('far', {dataCentre: 'd2'});
     expect(chooseByScore(context({loads}), [candidate('near'), far])).toBe(far);
   });
 
-  it('keeps calls that cannot be repeated near by while one there has room', () => {
+  it('stays in the data centre while an upstream there has a free slot', () => {
     const far = Array.from({length: 20}, (_, i) =>
       candidate(`f${i}`, {dataCentre: 'd2'}),
     );
@@ -55,7 +55,7 @@
     expect(near).toContain(chooseByScore(context(), [...far, ...near]));
   });
 
-  it('takes one that nothing is known of for no emptier than its neighbours are', () => {
+  it('does not assume that an upstream without hints is idle', () => {
     const loads = new UpstreamLoads();
     ['n1', 'n2', 'n3'].forEach((name) =>
       loads.heard(name, NOW, {state: 'accepting', occupied: 4, limit: 4}),
@@ -84,7 +84,7 @@
 });
 
 describe('UpstreamLoads', () => {
-  it('keeps ordinary calls away as long as the guard says, and probes for less', () => {
+  it('avoids a doubted upstream for the time given, and for less in probes', () => {
     const loads = new UpstreamLoads();
     loads.heard('u', NOW, {
       state: 'doubted',
@@ -149,7 +149,7 @@
 });
 
 describe('TypicalDurations', () => {
-  it('stays near the median though some calls take very long', () => {
+  it('stays near the median despite very long calls', () => {
     const durations = new TypicalDurations();
     for (let i = 0; i < 400; i += 1) {
       durations.add('kind', i % 10 === 0 ? 5000 : 80 + (i % 5) * 10);
@@ -159,7 +159,7 @@
     expect(typical).toBeLessThan(140);
   });
 
-  it('says nothing before it has seen enough', () => {
+  it('is undefined until there are enough samples', () => {
     const durations = new TypicalDurations();
     durations.add('kind', 10);
     expect(durations.of('kind')).toBeUndefined();
--- a/packages/routing/src/__tests__/retriesThroughGaps.test.ts
+++ b/packages/routing/src/__tests__/retriesThroughGaps.test.ts
@@ -1,9 +1,9 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
 /**
- * Found by reading: the time of day of a box is set forwards, which looks like a
- * suspension. Calls and retries of the window are then older than the window, and the
- * fixed number of retries is given out a second time within one window of real time.
- * Cause: what was spent was forgotten for time that did not pass.
+ * Guards against using the constant part of a retry budget twice in one window
+ * of real time. Setting the time of day forwards looks like a suspension of the
+ * box; without a correction, the retries taken would expire with time that has
+ * not passed.
  */
 
 import fc from 'fast-check';
@@ -15,8 +15,8 @@
 const RATIO = 0.1;
 const EXTRA = 5;
 
-/** One box with its clocks, and the calls and retries that it sent in real time. */
-class RetryingBox {
+/** A box with its clocks, and the real times of its calls and retries. */
+class RetryBudgetModel {
   private now = 1000;
   private steady = 50;
   private timeOfDay = 1_700_000_000_000;
@@ -60,7 +60,7 @@
     this.budget.firstAttempt(this.clock.now());
   }
 
-  /** Whether a retry was sent. */
+  /** Sends a retry if the budget allows it. */
   retry(): boolean {
     const isTaken = this.budget.takeRetry(this.clock.now());
     if (isTaken) {
@@ -69,7 +69,7 @@
     return isTaken;
   }
 
-  /** Retries of the window that ends now, above what its calls allow. */
+  /** Retries above the limit in the window that ends now. */
   excess(): number {
     const since = this.now - WINDOW;
     const calls = this.calls.filter((at) => at > since).length;
@@ -106,7 +106,7 @@
   it('stay within their share through suspensions and steps of the clock', () => {
     fc.assert(
       fc.property(fc.array(step, {maxLength: 60}), (steps) => {
-        const box = new RetryingBox();
+        const box = new RetryBudgetModel();
         for (const {kind, times} of steps) {
           for (let i = 0; i < times && kind === 'call'; i += 1) {
             box.call();
--- a/packages/routing/src/__tests__/routing.test.ts
+++ b/packages/routing/src/__tests__/routing.test.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Which upstream gets a call. */
+/** Subsets, the choice of an upstream, and the retry budget. */
 
 import {describe, expect, it} from 'vitest';
 import {seededRandom} from '@lockpin/utils';
@@ -21,11 +21,11 @@
 }
 
 describe('chooseSubset', () => {
-  it('changes at most one member when an upstream goes', () => {
+  it('changes at most one member when an upstream is removed', () => {
     const all = upstreams(40);
     const before = chooseSubset('entry', 'd0', all);
-    for (const gone of all) {
-      const rest = all.filter((item) => item !== gone);
+    for (const removed of all) {
+      const rest = all.filter((item) => item !== removed);
       const after = chooseSubset('entry', 'd0', rest);
       const kept = after.filter((item) => before.includes(item));
       expect(kept.length).toBeGreaterThanOrEqual(before.length - 1);
@@ -46,7 +46,7 @@
 });
 
 describe('chooseUpstream', () => {
-  it('stays in its own data centre while there is room, and not beyond', () => {
+  it('prefers its own data centre until the upstreams there are full', () => {
     const loads = new UpstreamLoads();
     const all = upstreams(4, 2);
     expect(chooseUpstream(context(loads), all)?.dataCentre).toBe('d0');
@@ -56,7 +56,7 @@
     expect(chooseUpstream(context(loads), all)?.dataCentre).toBe('d1');
   });
 
-  it('takes the less occupied of two', () => {
+  it('takes the less occupied of two upstreams', () => {
     const loads = new UpstreamLoads();
     loads.sent('u0');
     const chosen = chooseUpstream(context(loads), upstreams(2));
@@ -72,7 +72,7 @@
     expect(loads.isAvoided('u0', 2000)).toBe(false);
   });
 
-  it('takes one it routes around when there is no other', () => {
+  it('takes an avoided upstream when there is no other', () => {
     const loads = new UpstreamLoads();
     loads.linkFailed('u0', 0, 0.5);
     loads.linkFailed('u0', 0, 0.5);
@@ -81,7 +81,7 @@
 });
 
 describe('RetryBudget', () => {
-  it('lets no more than its share of calls be retried', () => {
+  it('allows no more retries than its share of calls', () => {
     const budget = new RetryBudget();
     let retries = 0;
     for (let i = 0; i < 1000; i += 1) {
--- a/packages/routing/src/chooseByScore.ts
+++ b/packages/routing/src/chooseByScore.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Chooses the upstream that is expected to start a call first. */
+/** Chooses the upstream with the lowest estimated cost for a call. */
 
 import type {
   ChooseUpstream,
@@ -7,7 +7,7 @@
   RoutingContext,
 } from './chooseUpstream.js';
 
-/** Costs by what an upstream is like. */
+/** Costs added for properties of an upstream, in units of its occupation. */
 export interface CandidateCosts {
   readonly otherDataCentre: number;
   readonly otherBox: number;
@@ -16,52 +16,52 @@
 }
 
 /**
- * What makes an upstream less attractive, in units of its occupation (1 is all
- * slots taken). The figures order the alternatives rather than measure them.
+ * Default costs, in units of occupation (1 is all slots taken). They rank the
+ * alternatives; they are not estimates of latency.
  */
-const COST: CandidateCosts = {
+const DEFAULT_COSTS: CandidateCosts = {
   /**
-   * Another data centre: bytes that are paid for. A little less than all slots, so that a
-   * call goes there only when none near by has room for it.
+   * Traffic between data centres is charged for. Slightly less than all slots,
+   * so that a call leaves its data centre only when no upstream there has room.
    */
   otherDataCentre: 0.9,
-  /** Another box: one round trip and one more process to depend on. */
+  /** A round trip and one more process to depend on. */
   otherBox: 0.1,
   /** A cold upstream takes about twice as long. */
   cold: 0.4,
-  /** Its guard refused or was silent a moment ago. */
+  /** Its guard recently refused a call or did not respond. */
   avoided: 10,
 };
 
-/** Spreads the choices of entries that know the same, in the same units. */
+/** Random share of a cost, so that entries choose differently. */
 const NOISE = 0.2;
 
 /** Takes the candidate with the lowest cost. */
 export const chooseByScore: ChooseUpstream = (context, candidates) =>
-  cheapest(COST, context, candidates);
+  lowestCost(DEFAULT_COSTS, context, candidates);
 
-/** The same with some costs of its own. */
+/** Creates a chooser by score with some of the costs replaced. */
 export function chooseByScoreWith(
   costs: Partial<CandidateCosts>,
 ): ChooseUpstream {
-  const all = {...COST, ...costs};
-  return (context, candidates) => cheapest(all, context, candidates);
+  const all = {...DEFAULT_COSTS, ...costs};
+  return (context, candidates) => lowestCost(all, context, candidates);
 }
 
-function cheapest<T extends RoutingCandidate>(
+function lowestCost<T extends RoutingCandidate>(
   costs: CandidateCosts,
   context: RoutingContext,
   candidates: readonly T[],
 ): T | undefined {
-  const usual = usualByDataCentre(context, candidates);
+  const means = meanByDataCentre(context, candidates);
   let best: T | undefined;
-  let lowest = Number.POSITIVE_INFINITY;
+  let bestCost = Number.POSITIVE_INFINITY;
   for (const candidate of candidates) {
-    const expected = usual.get(candidate.dataCentre) ?? 0;
+    const mean = means.get(candidate.dataCentre) ?? 0;
     const cost =
-      costOf(costs, context, candidate, expected) + NOISE * context.random();
-    if (cost < lowest) {
-      lowest = cost;
+      costOf(costs, context, candidate, mean) + NOISE * context.random();
+    if (cost < bestCost) {
+      bestCost = cost;
       best = candidate;
     }
   }
@@ -72,11 +72,11 @@
   costs: CandidateCosts,
   context: RoutingContext,
   candidate: RoutingCandidate,
-  usual: number,
+  mean: number,
 ): number {
   const {loads, now} = context;
   const {name, slots, dataCentre, box, coldUntil} = candidate;
-  let cost = loads.occupation(name, slots, now, usual);
+  let cost = loads.occupation(name, slots, now, mean);
   cost += dataCentre === context.dataCentre ? 0 : costs.otherDataCentre;
   cost += box === context.box ? 0 : costs.otherBox;
   cost += now < coldUntil ? costs.cold : 0;
@@ -84,16 +84,16 @@
   return cost;
 }
 
-/** How occupied the candidates of each data centre are, as far as that is known. */
-function usualByDataCentre(
+/** Mean known occupation of the candidates in each data centre. */
+function meanByDataCentre(
   {loads, now}: RoutingContext,
   candidates: readonly RoutingCandidate[],
 ): ReadonlyMap<string, number> {
   const names = new Map<string, string[]>();
   for (const {name, dataCentre} of candidates) {
-    const known = names.get(dataCentre) ?? [];
-    known.push(name);
-    names.set(dataCentre, known);
+    const upstreams = names.get(dataCentre) ?? [];
+    upstreams.push(name);
+    names.set(dataCentre, upstreams);
   }
   return new Map(
     [...names].map(([dataCentre, upstreams]) => [
--- a/packages/routing/src/chooseSubset.ts
+++ b/packages/routing/src/chooseSubset.ts
@@ -1,26 +1,26 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** The few upstreams of a service that one entry calls. */
+/** Chooses the subset of upstreams of a service that an entry calls. */
 
 import {stableHash} from '@lockpin/utils';
 
-/** What the choice needs to know of an upstream. */
+/** The properties of an upstream that subsetting needs. */
 export interface SubsetCandidate {
   readonly name: string;
   readonly dataCentre: string;
 }
 
-/** How many upstreams of a service one entry calls. */
+/** Sizes of a subset, in the entry's own data centre and in others. */
 export interface SubsetSizes {
   readonly local: number;
   readonly remote: number;
 }
 
-/** Enough for two random choices to balance, few enough to keep connected. */
+/** Enough for two random choices to balance, few enough to stay connected. */
 export const DEFAULT_SUBSET_SIZES: SubsetSizes = {local: 8, remote: 8};
 
 /**
- * Chooses by rendezvous hashing, so that one upstream coming or going changes
- * at most one member of the subset in each part.
+ * Uses rendezvous hashing: adding or removing an upstream changes at most one
+ * local and one remote member of the subset.
  */
 export function chooseSubset<T extends SubsetCandidate>(
   entry: string,
--- a/packages/routing/src/chooseUpstream.ts
+++ b/packages/routing/src/chooseUpstream.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Which upstream of a subset gets a call. */
+/** Chooses an upstream of a subset by the power of two choices. */
 
 import type {RandomSource} from '@lockpin/types';
 import type {SubsetCandidate} from './chooseSubset.js';
@@ -9,11 +9,11 @@
 export interface RoutingCandidate extends SubsetCandidate {
   readonly slots: number;
   readonly box: string;
-  /** It answers slowly until then, in milliseconds since 1970; 0 when warm. */
+  /** End of its warm-up, in milliseconds since 1970; 0 when warm. */
   readonly coldUntil: number;
 }
 
-/** What is known of the world when a call is routed. */
+/** Inputs of a routing decision. */
 export interface RoutingContext {
   readonly now: number;
   readonly random: RandomSource;
@@ -21,40 +21,40 @@
   /** The entry's own box. */
   readonly box: string;
   readonly loads: UpstreamLoads;
-  /** The call may find out how a doubted upstream is. */
+  /** Whether the call may probe a doubted upstream. */
   readonly mayProbe: boolean;
 }
 
-/** A way to choose an upstream; undefined only when there is no candidate. */
+/** Chooses an upstream; undefined only when there are no candidates. */
 export type ChooseUpstream = <T extends RoutingCandidate>(
   context: RoutingContext,
   candidates: readonly T[],
 ) => T | undefined;
 
-/** Share of its limit up to which an upstream nearby is preferred. */
-const ROOM_NEARBY = 1;
+/** Occupation up to which local upstreams are preferred. */
+const LOCAL_OCCUPATION_LIMIT = 1;
 
 /**
  * Takes the less occupied of two random upstreams, in the entry's own data
- * centre while one there has room. Upstreams that the entry routes around are
- * taken only when nothing else is left.
+ * centre while one there has room. Avoided upstreams are used only when no
+ * other is left.
  */
 export function chooseUpstream<T extends RoutingCandidate>(
   context: RoutingContext,
   candidates: readonly T[],
 ): T | undefined {
   const {loads, now, dataCentre} = context;
-  const open = candidates.filter(({name}) => !loads.isAvoided(name, now));
-  const usable = open.length > 0 ? open : candidates;
-  const nearby = usable.filter(
+  const notAvoided = candidates.filter(({name}) => !loads.isAvoided(name, now));
+  const usable = notAvoided.length > 0 ? notAvoided : candidates;
+  const local = usable.filter(
     (item) => item.dataCentre === dataCentre && hasRoom(context, item),
   );
-  return lessOccupiedOfTwo(context, nearby.length > 0 ? nearby : usable);
+  return lessOccupiedOfTwo(context, local.length > 0 ? local : usable);
 }
 
 function hasRoom(context: RoutingContext, item: RoutingCandidate): boolean {
   const {loads, now} = context;
-  return loads.occupation(item.name, item.slots, now) < ROOM_NEARBY;
+  return loads.occupation(item.name, item.slots, now) < LOCAL_OCCUPATION_LIMIT;
 }
 
 function lessOccupiedOfTwo<T extends RoutingCandidate>(
--- a/packages/routing/src/retryBudget.ts
+++ b/packages/routing/src/retryBudget.ts
@@ -1,41 +1,41 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Retries as a share of recent calls, so that they cannot amplify. */
+/** Limits retries to a share of recent calls, to prevent retry storms. */
 
-/** Retries that may be saved up while all is well. */
-const MOST_SAVED_RETRIES = 10;
+/** Retries that can accumulate while none are needed. */
+const MAXIMUM_SAVED_RETRIES = 10;
 
-/** What pays for the retries of a service's calls. */
+/** Budget for the retries of a service's calls. */
 export interface RetryAllowance {
-  /** A call arrived; its route lets this share of calls be retried. */
+  /** Records a first attempt; its route allows this share of calls to retry. */
   readonly firstAttempt: (now: number, share: number) => void;
-  /** A call arrived that is a repeat already, though not one of this entry. */
+  /** Records an arriving call that is a repeat made by another party. */
   readonly repeatArrived: (now: number) => void;
-  /** Whether a retry could be taken now. */
+  /** Whether a retry is available now. */
   readonly hasRetry: (now: number) => boolean;
-  /** Takes one retry, or says that there is none. */
+  /** Takes one retry; false if none is available. */
   readonly takeRetry: (now: number) => boolean;
   /**
-   * The clock counts this much more time from here on, which may not have passed: what
-   * was spent must not be forgotten for it.
+   * The clock has jumped forwards by this much, possibly without that time
+   * having passed. Retries already taken must not expire because of it.
    */
   readonly clockGained: (milliseconds: number) => void;
 }
 
-/** Lets a fixed share of calls be retried, with a small reserve. */
+/** Allows a fixed share of calls to be retried, with a small reserve. */
 export class RetryBudget implements RetryAllowance {
   private saved: number;
 
-  /** Starts with the retries that a service with little traffic may need. */
+  /** The initial reserve allows retries to services with little traffic. */
   constructor(startingRetries = 1) {
     this.saved = startingRetries;
   }
 
   /** A first attempt adds its share. */
   firstAttempt(_now: number, share: number): void {
-    this.saved = Math.min(MOST_SAVED_RETRIES, this.saved + share);
+    this.saved = Math.min(MAXIMUM_SAVED_RETRIES, this.saved + share);
   }
 
-  /** Somebody else's repeat takes one out as well. */
+  /** A repeat made by another party uses up a retry as well. */
   repeatArrived(): void {
     this.saved = Math.max(0, this.saved - 1);
   }
@@ -44,7 +44,7 @@
     return this.saved >= 1;
   }
 
-  /** Takes one retry out, or says that there is none. */
+  /** Takes one retry; false if none is available. */
   takeRetry(): boolean {
     if (!this.hasRetry()) {
       return false;
@@ -53,11 +53,11 @@
     return true;
   }
 
-  /** What is saved does not age. */
+  /** Does nothing, since saved retries do not expire. */
   clockGained(): void {}
 }
 
-/** For an entry whose guards pay for retries: it takes whatever they let it. */
+/** No limit at the entry, for fleets whose guards keep the retry budgets. */
 export const PAID_ELSEWHERE: RetryAllowance = {
   firstAttempt: () => undefined,
   repeatArrived: () => undefined,
@@ -66,7 +66,7 @@
   clockGained: () => undefined,
 };
 
-/** Pays for nothing. */
+/** Allows no retries. */
 export const NO_RETRIES: RetryAllowance = {
   firstAttempt: () => undefined,
   repeatArrived: () => undefined,
--- a/packages/routing/src/typicalDurations.ts
+++ b/packages/routing/src/typicalDurations.ts
@@ -1,43 +1,43 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** How long calls of each kind usually take, over all upstreams. */
+/** Typical durations of each kind of call, over all upstreams. */
 
-/** Share by which the estimate moves towards each new duration. */
-const STEP_SHARE = 0.06;
+/** Least relative step of the estimate towards each new duration. */
+const MINIMUM_STEP = 0.06;
 
-/** Durations seen before the estimate is used. */
-const LEAST_SEEN = 5;
+/** Durations needed before the estimate is used. */
+const MINIMUM_SAMPLES = 5;
 
 interface Estimate {
   median: number;
-  seen: number;
+  samples: number;
 }
 
-/** A running median for each kind of call; outliers hardly move it. */
+/** Running median for each kind of call; outliers hardly affect it. */
 export class TypicalDurations {
   private readonly estimates = new Map<string, Estimate>();
 
-  /** Takes in how long a call that was answered well took. */
+  /** Adds the duration of a successful call. */
   add(kind: string, milliseconds: number): void {
     const estimate = this.estimates.get(kind);
     if (estimate === undefined) {
-      this.estimates.set(kind, {median: milliseconds, seen: 1});
+      this.estimates.set(kind, {median: milliseconds, samples: 1});
       return;
     }
     const direction = Math.sign(milliseconds - estimate.median);
-    const share = Math.max(STEP_SHARE, 1 / (estimate.seen + 1));
+    const share = Math.max(MINIMUM_STEP, 1 / (estimate.samples + 1));
     estimate.median += direction * share * estimate.median;
-    estimate.seen += 1;
+    estimate.samples += 1;
   }
 
-  /** The median in milliseconds; undefined until enough calls were seen. */
+  /** The median in milliseconds; undefined until there are enough samples. */
   of(kind: string): number | undefined {
     const estimate = this.estimates.get(kind);
-    return estimate !== undefined && estimate.seen >= LEAST_SEEN
+    return estimate !== undefined && estimate.samples >= MINIMUM_SAMPLES
       ? estimate.median
       : undefined;
   }
 
-  /** Forgets kinds that are no longer configured. */
+  /** Removes kinds that are no longer configured. */
   retain(isKnown: (kind: string) => boolean): void {
     for (const kind of this.estimates.keys()) {
       if (!isKnown(kind)) {
--- a/packages/routing/src/windowedRetryBudget.ts
+++ b/packages/routing/src/windowedRetryBudget.ts
@@ -1,26 +1,26 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Retries as a share of the calls of a sliding window, plus a fixed number. */
+/** Limits retries in a sliding window: a share of its calls plus a constant. */
 
 import type {RetryAllowance} from './retryBudget.js';
 
-/** What a windowed budget allows. */
+/** Limits of a windowed retry budget. */
 export interface WindowedBudgetSettings {
-  /** Retries for each call of the window. */
+  /** Retries allowed for each call in the window. */
   readonly ratio: number;
   readonly windowMilliseconds: number;
-  /** Retries of each window on top. */
+  /** Retries allowed in each window in addition. */
   readonly extra: number;
 }
 
 /**
- * Every span of the window's length keeps the limit: a retry is allowed only
- * when those of the window that ends now stay within it.
+ * The limit holds in every window, wherever it starts: a retry is allowed only
+ * if the window that ends now stays within the limit.
  */
 export class WindowedRetryBudget implements RetryAllowance {
   private calls: number[] = [];
   private retries: number[] = [];
 
-  /** The settings are asked for each time: operators change them as we run. */
+  /** Reads the settings on each use: operators change them at run time. */
   constructor(
     private readonly settings: (now: number) => WindowedBudgetSettings,
   ) {}
@@ -33,7 +33,7 @@
     }
   }
 
-  /** Counts against the window even where nothing is left in it. */
+  /** Counts against the limit even when it is already reached. */
   repeatArrived(now: number): void {
     this.retries.push(now);
   }
@@ -56,15 +56,16 @@
   }
 
   /**
-   * Retries keep their age, calls grow older: else the fixed number could be spent twice
-   * in a window when the time of day is set forwards.
+   * Moves the retries along, so that they keep their age, while calls grow
+   * older. Otherwise the constant part could be used twice in one window of
+   * real time when the time of day is set forwards.
    */
   clockGained(milliseconds: number): void {
     this.retries = this.retries.map((at) => at + milliseconds);
   }
 }
 
-/** The times after a moment; times are in rising order. */
+/** The times after a moment; expects times in ascending order. */
 function after(times: number[], since: number): number[] {
   const first = times.findIndex((time) => time > since);
   return first < 0 ? [] : first === 0 ? times : times.slice(first);
