--- a/packages/node/src/__tests__/brokenAnswers.test.ts
+++ b/packages/node/src/__tests__/brokenAnswers.test.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Answers that an upstream breaks off, as bytes on a connection. */
+/** Interrupted upstream answers, sent as raw bytes on a connection. */
 
 import {createServer} from 'node:net';
 import type {AddressInfo, Server, Socket} from 'node:net';
@@ -92,7 +92,7 @@
   };
 }
 
-/** How the entry hears of the end of a call. */
+/** Makes a call; resolves to the result that the entry receives. */
 function call(repetition: Repetition): Promise<string> {
   return new Promise((resolve) => {
     service.begin(head(repetition), {
@@ -109,7 +109,7 @@
 }
 
 const UNFRAMED = 'HTTP/1.1 200 OK\r\nconnection: close\r\n\r\npart';
-const KEPT_UNFRAMED = 'HTTP/1.1 200 OK\r\n\r\npart';
+const UNFRAMED_KEEP_ALIVE = 'HTTP/1.1 200 OK\r\n\r\npart';
 const FRAMED = 'HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\npart';
 const CHUNKED =
   'HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n4\r\npart\r\n';
@@ -117,49 +117,55 @@
 describe.each(['repeatable', 'at-most-once'] as const)('a %s call', (kind) => {
   it.each([
     ['without a length', UNFRAMED],
-    ['without a length or a word of closing', KEPT_UNFRAMED],
+    ['without a length or connection: close', UNFRAMED_KEEP_ALIVE],
     ['with a length', FRAMED],
     ['in chunks', CHUNKED],
-  ])('takes no answer %s for whole that was reset', async (_name, bytes) => {
-    answer = (socket) => {
-      socket.write(bytes);
-      setTimeout(() => socket.resetAndDestroy(), 30);
-    };
-    expect(await call(kind)).toBe('upstream-failed unknown');
-  });
+  ])(
+    'fails when an answer %s is interrupted by a reset',
+    async (_name, bytes) => {
+      answer = (socket) => {
+        socket.write(bytes);
+        setTimeout(() => socket.resetAndDestroy(), 30);
+      };
+      expect(await call(kind)).toBe('upstream-failed unknown');
+    },
+  );
 
   it.each([
     ['with a length', FRAMED],
     ['in chunks', CHUNKED],
-  ])('takes no answer %s for whole that was cut', async (_name, bytes) => {
-    answer = (socket) => socket.end(bytes);
-    expect(await call(kind)).toBe('upstream-failed unknown');
-  });
+  ])(
+    'fails when an answer %s ends before its declared end',
+    async (_name, bytes) => {
+      answer = (socket) => socket.end(bytes);
+      expect(await call(kind)).toBe('upstream-failed unknown');
+    },
+  );
 
-  it('takes an answer without a length that ends with its connection', async () => {
+  it('accepts an answer without a length that ends with its connection', async () => {
     answer = (socket) => socket.end(UNFRAMED);
     expect(await call(kind)).toBe('answer part');
   });
 
-  it('takes bytes that are no answer for a failure', async () => {
+  it('fails when the upstream sends bytes that are not HTTP', async () => {
     answer = (socket) => socket.end('rubbish');
     expect(await call(kind)).toBe('upstream-failed unknown');
   });
 });
 
-describe('an upstream that forgets its idle connections', () => {
+describe('an upstream that resets idle connections', () => {
   const WHOLE = 'HTTP/1.1 200 OK\r\ncontent-length: 4\r\n\r\nwell';
 
-  it('never costs a call that cannot be repeated', async () => {
+  it('does not fail an at-most-once call', async () => {
     answer = (socket) => {
       socket.write(WHOLE);
-      // Whatever is next sent on this connection is reset.
+      // Resets the connection when the next request is sent on it.
       socket.once('data', () => socket.resetAndDestroy());
     };
     expect(await call('repeatable')).toBe('answer well');
     expect(await call('at-most-once')).toBe('answer well');
     expect(await call('at-most-once')).toBe('answer well');
-    // The connection of the first call is still kept, and is the forgotten one.
+    // The kept-alive connection of the first call is reused and reset.
     expect(await call('repeatable')).toBe('upstream-failed unknown');
   });
 });
--- a/packages/node/src/__tests__/decisionLog.test.ts
+++ b/packages/node/src/__tests__/decisionLog.test.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Log lines under load, a slow reader of them, and metrics as text. */
+/** Log rate limits, back-pressure from a slow log reader, and text metrics. */
 
 import {closeSync, mkdtempSync, openSync, readFileSync} from 'node:fs';
 import {tmpdir} from 'node:os';
@@ -10,7 +10,7 @@
 import {createPrometheusMetrics} from '../process/prometheusMetrics.js';
 import type {CallRecord} from '../request/callStory.js';
 
-class World {
+class TestLog {
   now = 0;
   hasRoom = true;
   readonly lines: Readonly<Record<string, unknown>>[] = [];
@@ -47,10 +47,10 @@
 }
 
 describe('DecisionLog', () => {
-  it('writes who, what, under which version and how it ended', () => {
-    const world = new World();
-    world.log.call(record());
-    expect(world.lines).toMatchObject([
+  it('writes request, configuration version and status of a call', () => {
+    const harness = new TestLog();
+    harness.log.call(record());
+    expect(harness.lines).toMatchObject([
       {
         time: '1970-01-01T00:00:00.000Z',
         event: 'call',
@@ -63,42 +63,42 @@
     ]);
   });
 
-  it('bounds calls that went well, keeps those that did not, and says so', () => {
-    const world = new World();
+  it('limits lines of successful calls, keeps failed ones and counts omitted lines', () => {
+    const harness = new TestLog();
     for (let i = 0; i < 5000; i += 1) {
-      world.log.call(record());
+      harness.log.call(record());
     }
-    expect(world.count('call')).toBeLessThan(500);
-    world.log.call(record({outcome: 'unknown', status: 502}));
-    expect(world.lines.at(-1)).toMatchObject({status: 502});
-    const [leftOut] = world.lines.filter(
+    expect(harness.count('call')).toBeLessThan(500);
+    harness.log.call(record({outcome: 'unknown', status: 502}));
+    expect(harness.lines.at(-1)).toMatchObject({status: 502});
+    const [leftOut] = harness.lines.filter(
       ({event}) => event === 'lines-left-out',
     );
-    expect(leftOut?.['count']).toBe(5000 - (world.count('call') - 1));
+    expect(leftOut?.['count']).toBe(5000 - (harness.count('call') - 1));
   });
 
-  it('writes again when time has passed', () => {
-    const world = new World();
+  it('writes lines again after time has passed', () => {
+    const harness = new TestLog();
     for (let i = 0; i < 1000; i += 1) {
-      world.log.call(record());
+      harness.log.call(record());
     }
-    const before = world.count('call');
-    world.now = 1000;
+    const before = harness.count('call');
+    harness.now = 1000;
     for (let i = 0; i < 1000; i += 1) {
-      world.log.call(record());
+      harness.log.call(record());
     }
-    const written = world.count('call') - before;
+    const written = harness.count('call') - before;
     expect(written).toBeGreaterThan(30);
     expect(written).toBeLessThan(100);
   });
 
-  it('counts lines that the writer had no room for', () => {
-    const world = new World();
-    world.hasRoom = false;
-    world.log.event('node-started', {});
-    world.hasRoom = true;
-    world.log.event('node-stopping', {});
-    expect(world.lines).toMatchObject([
+  it('counts lines that the writer did not accept', () => {
+    const harness = new TestLog();
+    harness.hasRoom = false;
+    harness.log.event('node-started', {});
+    harness.hasRoom = true;
+    harness.log.event('node-stopping', {});
+    expect(harness.lines).toMatchObject([
       {event: 'lines-left-out', count: 1},
       {event: 'node-stopping'},
     ]);
@@ -106,7 +106,7 @@
 });
 
 describe('BoundedWriter', () => {
-  it('writes lines in order, and drops what a slow reader leaves no room for', async () => {
+  it('writes lines in order and drops lines when the reader is too slow', async () => {
     const folder = mkdtempSync(join(tmpdir(), 'lockpin-log-'));
     const file = join(folder, 'lines');
     const descriptor = openSync(file, 'w');
@@ -130,8 +130,8 @@
   });
 });
 
-describe('metrics as text', () => {
-  it('count, time and level under the names of the product', async () => {
+describe('Prometheus metrics', () => {
+  it('exports counters, histograms and gauges with the lockpin prefix', async () => {
     const metrics = createPrometheusMetrics();
     metrics.increment('calls.refused', {reason: 'queue-full'});
     metrics.increment('calls.refused', {reason: 'queue-full'});
--- a/packages/node/src/__tests__/frames.test.ts
+++ b/packages/node/src/__tests__/frames.test.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Frames between nodes keep what they say, in few bytes. */
+/** Encoding of frames between nodes: round trip and size. */
 
 import {describe, expect, it} from 'vitest';
 import {decodeDocument, encodeDocument} from '../connection/codec.js';
@@ -140,16 +140,16 @@
   },
 ];
 
-/** Twice the names that an offer and its answer have to carry. */
+/** Size limits: twice the names that an offer and its refusal must contain. */
 const OFFER_BYTES = 130;
 const REFUSAL_BYTES = 45;
 
 describe('a frame', () => {
-  it.each(FRAMES)('says the same once it was read: $kind', (frame) => {
+  it.each(FRAMES)('is unchanged by encoding and decoding: $kind', (frame) => {
     expect(readFrame(writeFrame(frame))).toEqual(frame);
   });
 
-  it('of an offer and of its refusal takes few bytes', () => {
+  it('stays below the size limit for an offer and its refusal', () => {
     const [offer, refusal] = FRAMES.map((frame) => writeFrame(frame).length);
     expect(offer).toBeLessThan(OFFER_BYTES);
     expect(refusal).toBeLessThan(REFUSAL_BYTES);
@@ -157,7 +157,7 @@
 });
 
 describe('a document between nodes', () => {
-  it('is compressed when it is large, and reads the same', () => {
+  it('is compressed when large and unchanged by a round trip', () => {
     const routes = Array.from({length: 300}, (_, i) => ({
       name: `r-${i}`,
       host: 'listings.example',
@@ -172,7 +172,7 @@
 });
 
 describe('bytes between data centres', () => {
-  it('are counted by what they are for, and others are not', () => {
+  it('are counted by purpose, without traffic in the same data centre', () => {
     const counted: unknown[] = [];
     const traffic = new PeerTraffic({
       count: (name, amount, tags) => counted.push([name, amount, tags]),
--- a/packages/node/src/__tests__/guardService.test.ts
+++ b/packages/node/src/__tests__/guardService.test.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** The guard's side of exchanges, with a real upstream stand-in. */
+/** The guard's side of exchanges, with a stand-in upstream over HTTP. */
 
 import {afterEach, beforeEach, describe, expect, it} from 'vitest';
 import {GuardBrain} from '@lockpin/brain';
@@ -16,7 +16,7 @@
 let upstream: StandInUpstream;
 let pools: UpstreamPools;
 let service: GuardService;
-/** Time in which the machine was suspended, which no timer counts. */
+/** Simulated suspension in milliseconds, which advances the clock only. */
 let suspended: number;
 
 beforeEach(async () => {
@@ -96,7 +96,7 @@
   | {readonly kind: 'refusal'; readonly frame: RefusalFrame}
   | {readonly kind: 'lost'};
 
-/** Begins an exchange; resolves to how it ended. */
+/** Starts an exchange; `ending` resolves to its result. */
 function exchange(call: CallHead): {
   readonly ending: Promise<Ending>;
   readonly cancel: () => void;
@@ -126,14 +126,14 @@
 }
 
 describe('GuardService', () => {
-  it('keeps exchanges apart that entries began alike', async () => {
+  it('keeps exchanges with otherwise equal heads apart', async () => {
     const endings = await Promise.all(
       ['one', 'two', 'three'].map((id) => exchange(head(id)).ending),
     );
     expect(endings.map(requestIdOf)).toEqual(['one', 'two', 'three']);
   });
 
-  it('says unknown when the answer is later than the deadline', async () => {
+  it('reports the outcome unknown when the deadline passes before the answer', async () => {
     upstream.turn({workMilliseconds: 2000});
     const ending = await exchange(head('late', {remaining: 60})).ending;
     expect(ending).toMatchObject({
@@ -142,7 +142,7 @@
     });
   });
 
-  it('never passes a cut answer off as whole', async () => {
+  it('refuses a truncated answer with the outcome unknown', async () => {
     upstream.turn({truncateShare: 1});
     const ending = await exchange(head('cut')).ending;
     expect(ending).toMatchObject({
@@ -151,7 +151,7 @@
     });
   });
 
-  it('says not-run when the upstream cannot be reached at all', async () => {
+  it('reports not-run when the upstream cannot be reached', async () => {
     upstream.stop();
     const ending = await exchange(head('gone')).ending;
     expect(ending).toMatchObject({
@@ -160,7 +160,7 @@
     });
   });
 
-  it('never runs a queued call that it called not run', async () => {
+  it('never runs a queued call that it refused as not-run', async () => {
     upstream.turn({workMilliseconds: 100});
     const running = exchange(head('running'));
     const queued = exchange(head('queued', {remaining: 55}));
@@ -174,7 +174,7 @@
     expect(ran).not.toContain('queued');
   });
 
-  it('lets the next call run when the caller of a running one leaves', async () => {
+  it('runs the next call when the running one is cancelled', async () => {
     upstream.turn({workMilliseconds: 60_000});
     const left = exchange(head('left'));
     upstream.turn({workMilliseconds: 1});
@@ -184,8 +184,8 @@
   });
 });
 
-describe('a machine that was suspended', () => {
-  it('gives up at once what is overdue, and no other call', async () => {
+describe('a suspension of the machine', () => {
+  it('ends overdue calls at once and no others', async () => {
     upstream.turn({workMilliseconds: 300});
     const long = exchange(head('1', {remaining: 60_000}));
     const short = exchange(head('2', {remaining: 20_000}));
--- a/packages/node/src/__tests__/requestDigest.test.ts
+++ b/packages/node/src/__tests__/requestDigest.test.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** What tells requests apart, and what does not. */
+/** Which parts of a request change its digest. */
 
 import type {IncomingMessage} from 'node:http';
 import {describe, expect, it} from 'vitest';
@@ -43,12 +43,12 @@
 }
 
 describe('the digest of a request', () => {
-  it('is the same whenever and wherever the request comes again', () => {
+  it('is the same for a repeated request', () => {
     expect(digest({})).toBe(digest({}));
     expect(digest({})).toHaveLength(16);
   });
 
-  it('differs with all that an upstream sees, and with the caller', () => {
+  it('differs by all parts that an upstream sees, and by caller', () => {
     const others: readonly Sent[] = [
       {method: 'PUT'},
       {host: 'other.example'},
@@ -63,7 +63,7 @@
     expect(new Set(digests).size).toBe(digests.length);
   });
 
-  it('is empty for a streamed body whose beginning came too late', () => {
+  it('is empty for a streamed body whose beginning did not arrive in time', () => {
     expect(digest({body: streamed(undefined)})).toBe('');
   });
 });
--- a/packages/node/src/request/attemptCourse.ts
+++ b/packages/node/src/request/attemptCourse.ts
@@ -1,5 +1,7 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** The course of a call's attempts: their timers, and what their guards say. */
+/**
+ * Runs the attempts of a call: their timers and the replies of their guards.
+ */
 
 import type {Attempt, EntryEvent} from '@lockpin/brain';
 import {FIRST_FAILED_STATUS} from '@lockpin/utils';
@@ -8,22 +10,22 @@
 import type {ExchangeHandlers} from './exchange.js';
 import type {AnswerHead, RefusalFrame} from './frames.js';
 
-/** What the course of attempts needs of the entry's service. */
+/** What the attempt runner needs from the entry service. */
 export interface AttemptCourseDependencies extends Pick<
   EntryServiceDependencies,
   'clock' | 'brain' | 'isOwnBox' | 'needsGo' | 'onSilence' | 'begin'
 > {
-  /** Tells the brain of an event, and does what it decides. */
+  /** Passes an event to the decision logic and performs its actions. */
   readonly tell: (event: EntryEvent) => void;
-  /** The answer of a call went to its caller, or broke off on the way. */
+  /** The answer was passed on completely, or was interrupted on the way. */
   readonly onAnswerOver: (exchange: CallerExchange) => void;
 }
 
-/** Makes the attempts of calls, and tells the brain how each goes. */
+/** Makes the attempts of calls and reports their results as events. */
 export class AttemptCourse {
   constructor(private readonly dependencies: AttemptCourseDependencies) {}
 
-  /** Waits a little before the next round of attempts. */
+  /** Delays the next round of attempts. */
   pause(exchange: CallerExchange, milliseconds: number): void {
     exchange.attemptSerial += 1;
     exchange.exchange = undefined;
@@ -53,29 +55,31 @@
     );
     exchange.isGoGiven = !needsGo;
     exchange.hasSlot = false;
-    // Only a guard in this process, or one that waits for a go, tells for sure.
+    // Only a guard in this process, or one that waits for the go signal,
+    // reports reliably whether the call has started.
     const tellsStart = needsGo || this.dependencies.isOwnBox(attempt.box);
     exchange.mayHaveBegun = !tellsStart || !exchange.isReplayable;
     this.setAttemptTimers(exchange, attempt, needsGo);
     const serial = exchange.attemptSerial;
     const handlers = this.handlersFor(exchange, serial);
     const begun = this.dependencies.begin(attempt.box, head, handlers);
-    // A guard in this process may have refused, and the next attempt begun.
+    // A guard in this process may already have refused, and the next attempt
+    // may have started.
     if (exchange.attemptSerial === serial) {
       exchange.exchange = begun;
     }
   }
 
-  /** The call may run: the slot that a guard keeps for it is taken. */
+  /** The call may run: uses the slot that a guard has reserved for it. */
   admitted(exchange: CallerExchange): void {
     exchange.isUndecided = false;
     if (exchange.hasSlot) {
       exchange.hasSlot = false;
-      this.slotFound(exchange);
+      this.slotReserved(exchange);
     }
   }
 
-  /** Breaks off the attempt under way; what still comes of it is ignored. */
+  /** Cancels the current attempt; its later callbacks are ignored. */
   cancel(exchange: CallerExchange): void {
     exchange.attemptSerial += 1;
     exchange.hasSlot = false;
@@ -84,7 +88,7 @@
     exchange.exchange = undefined;
   }
 
-  /** The attempt under way goes on beside the next one. */
+  /** Keeps the current attempt running alongside the next one. */
   keepOverdue(exchange: CallerExchange): void {
     this.noteEnd(exchange, 'overdue');
     exchange.overdue = {
@@ -94,19 +98,19 @@
     };
   }
 
-  /** Breaks off the attempt that goes on beside the one under way. */
+  /** Cancels the overdue attempt that runs alongside the current one. */
   cancelOverdue(exchange: CallerExchange): void {
     exchange.overdue?.exchange?.cancel();
     exchange.overdue = undefined;
   }
 
-  /** The answer of the overdue attempt is the one to pass on. */
+  /** Makes the answer of the overdue attempt the one to pass on. */
   takeOverdueAnswer(exchange: CallerExchange): void {
     exchange.heldAnswer = exchange.overdue?.answer;
     exchange.overdue = undefined;
   }
 
-  /** For the story of the call: how the attempt under way ended. */
+  /** Records in the call's history how the current attempt ended. */
   noteEnd(exchange: CallerExchange, end: string): void {
     exchange.story.ended(exchange.age(this.dependencies.clock()), end);
   }
@@ -136,8 +140,8 @@
     exchange.overdueMilliseconds = overdueMilliseconds;
   }
 
-  /** Time in a guard's queue is not held against the upstream. */
-  private watchForOverdue(exchange: CallerExchange): void {
+  /** Starts when the slot is reserved: queueing at the guard does not count. */
+  private startOverdueTimer(exchange: CallerExchange): void {
     const {id: callId, overdueMilliseconds} = exchange;
     if (overdueMilliseconds !== undefined) {
       exchange.overdueTimer = setTimeout(
@@ -147,15 +151,15 @@
     }
   }
 
-  /** The guard has a slot for the call. */
-  private slotFound(exchange: CallerExchange): void {
+  /** The guard has reserved a slot for the call. */
+  private slotReserved(exchange: CallerExchange): void {
     clearTimeout(exchange.silenceTimer);
     if (exchange.isUndecided) {
       exchange.hasSlot = true;
       return;
     }
     exchange.mayHaveBegun = true;
-    this.watchForOverdue(exchange);
+    this.startOverdueTimer(exchange);
     if (exchange.isGoGiven) {
       exchange.streamBody();
       return;
@@ -183,7 +187,7 @@
     const overdueEnded = (): void =>
       ifOverdue(() => this.overdueEnded(exchange));
     return {
-      onContinue: () => ifCurrent(() => this.slotFound(exchange)),
+      onContinue: () => ifCurrent(() => this.slotReserved(exchange)),
       onQueued: () => ifCurrent(() => clearTimeout(exchange.silenceTimer)),
       onAnswer: (head) => {
         ifOverdue(() => this.overdueAnswered(exchange, head));
@@ -240,7 +244,9 @@
     });
   }
 
-  /** Only an answer that is at hand whole can take the place of another. */
+  /**
+   * Only a complete answer can replace another; a streamed one is cancelled.
+   */
   private overdueAnswered(exchange: CallerExchange, head: AnswerHead): void {
     const {id: callId, overdue} = exchange;
     if (overdue === undefined || head.hasMore) {
--- a/packages/node/src/request/attemptUrgency.ts
+++ b/packages/node/src/request/attemptUrgency.ts
@@ -1,19 +1,20 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** What a guard is told of how soon an attempt has to run. */
+/** Priority and time limits that an offer gives to the guard. */
 
 import type {Attempt} from '@lockpin/brain';
 import type {CallerRequest} from './callerRequest.js';
 
 /**
- * Added to the priority of late calls: behind all that are not late. A priority is two
- * digits at the most, the customer's and the route's.
+ * Added to the priority number of late calls, which places them behind all
+ * others: a priority has at most two digits, the customer's and the route's.
  */
 const LATE_PRIORITY = 100;
 
 /**
- * Under overload, a call whose answer is late anyway makes way for those that can still be
- * answered in time; one that lost time on a failed upstream goes ahead of its kind.
- * @param age Since the call arrived, in milliseconds.
+ * The priority of an attempt. Under overload, a call that has missed its
+ * latency goal yields to calls that can still meet theirs; a call that lost
+ * time on a failed upstream goes ahead of others of the same priority.
+ * @param age Milliseconds since the call arrived.
  */
 export function urgencyOf(
   {priority, route}: CallerRequest,
@@ -30,7 +31,10 @@
   return attempt.number > 1 ? Math.max(0, priority - 1) : priority;
 }
 
-/** Undefined where the answer is late already, or is worth the same later. */
+/**
+ * Milliseconds until the latency goal; undefined when the route has no goal or
+ * the goal is already missed.
+ */
 export function usefulFor(
   {route}: CallerRequest,
   age: number,
@@ -44,7 +48,9 @@
   return milliseconds > 0 ? Math.ceil(milliseconds) : undefined;
 }
 
-/** The time in which the guard must give it a slot; undefined for any. */
+/**
+ * Milliseconds in which the guard must reserve a slot; undefined for no limit.
+ */
 export function startWithin(
   now: number,
   {startBy}: Attempt,
@@ -54,7 +60,9 @@
     : Math.max(0, Math.floor(startBy - now));
 }
 
-/** Whole milliseconds take a quarter of the bytes on the way. */
+/**
+ * Rounded because whole milliseconds take a quarter of the bytes on the wire.
+ */
 export function rounded(milliseconds: number | undefined): number | undefined {
   return milliseconds === undefined ? undefined : Math.round(milliseconds);
 }
--- a/packages/node/src/request/callAdmission.ts
+++ b/packages/node/src/request/callAdmission.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Whether calls are within their customers' limits, and what becomes of their tokens. */
+/** Checks calls against their customers' limits and returns unused tokens. */
 
 import type {Admission} from '@lockpin/limits';
 import type {Refusal, RefusalReason} from '@lockpin/types';
@@ -18,7 +18,7 @@
   unknown: 'limit-unknown',
 };
 
-/** Asks for each call, and gives back what calls have not used. */
+/** Admits calls within their customers' limits; returns unused tokens. */
 export class CallAdmission {
   constructor(
     private readonly dependencies: Pick<
@@ -27,14 +27,17 @@
     >,
   ) {}
 
-  /** Known at once where a token is in store, or where there is no limit. */
+  /** Synchronous when a token is available locally or there is no limit. */
   of({keyOwner}: CallerRequest): Admission | Promise<Admission> {
     return keyOwner === undefined
       ? ADMITTED
       : (this.dependencies.admit?.(keyOwner) ?? ADMITTED);
   }
 
-  /** Refuses a request that is no call yet: at once, for none waits for room. */
+  /**
+   * Refuses a request before it becomes a call; requests over a limit do not
+   * queue.
+   */
   refuse(unread: RefusedRequest, call: CallerRequest, denial: Denial): void {
     const {reason, retryAfterMilliseconds} = refusalFor(denial);
     refuseEarly(this.dependencies, unread, reason, retryAfterMilliseconds);
@@ -48,14 +51,14 @@
     });
   }
 
-  /** What does not run does not count against its customer's limit. */
+  /** Returns the token of a call that did not run. */
   notRun({keyOwner}: CallerRequest): void {
     if (keyOwner !== undefined) {
       this.dependencies.onNotRun?.(keyOwner);
     }
   }
 
-  /** The call is over before it is known whether it may run. */
+  /** Returns the token of a call that ended before it was admitted. */
   async giveBack(
     call: CallerRequest,
     pending: Admission | Promise<Admission>,
@@ -67,7 +70,7 @@
   }
 }
 
-/** The refusal of a call that may not run; it has not. */
+/** The refusal of a call that was denied admission and has not run. */
 export function refusalFor({kind, retryAfterMilliseconds}: Denial): Refusal {
   return {reason: REASONS[kind], outcome: 'not-run', retryAfterMilliseconds};
 }
--- a/packages/node/src/request/callReception.ts
+++ b/packages/node/src/request/callReception.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** From a caller's request to a call; what is refused on the way has run nowhere. */
+/** Turns callers' requests into calls; a request refused here has not run. */
 
 import type {IncomingMessage, ServerResponse} from 'node:http';
 import type {Admission} from '@lockpin/limits';
@@ -12,10 +12,10 @@
 import {reasonNotToServe, refuseEarly} from './earlyRefusals.js';
 import type {EntryServiceDependencies} from './entryServiceDependencies.js';
 
-/** A call that is served from here on. */
+/** A request accepted as a call. */
 export interface ReceivedCall {
   readonly arrived: ArrivedRequest;
-  /** Whether it is within its customer's limit, where that is not known yet. */
+  /** The admission decision, when it is not known yet. */
   readonly pending: Promise<Admission> | undefined;
 }
 
@@ -28,7 +28,7 @@
     private readonly admission: CallAdmission,
   ) {}
 
-  /** Undefined where the request was refused, or its caller is gone. */
+  /** Undefined when the request was refused or its caller has disconnected. */
   async receive(
     request: IncomingMessage,
     response: ServerResponse,
@@ -70,7 +70,7 @@
     return undefined;
   }
 
-  /** A key is called unknown only once it is unknown in the newest version. */
+  /** Refuses a key as unknown only after a check against the newest keys. */
   private async readConfirmed(
     request: IncomingMessage,
   ): Promise<Result<CallerRequest, UnroutedRequest>> {
@@ -112,7 +112,9 @@
     return body.kind === 'cut' || response.destroyed ? undefined : body;
   }
 
-  /** A body that flows as it comes cannot wait at a guard for a word from here. */
+  /**
+   * A streamed call is admitted first: a guard cannot hold its body until then.
+   */
   private async admit(
     arrived: ArrivedRequest,
     admission: Admission | Promise<Admission>,
--- a/packages/node/src/request/callRecord.ts
+++ b/packages/node/src/request/callRecord.ts
@@ -1,10 +1,10 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** The record of a call at its end, for the log. */
+/** Builds the log record of a finished call. */
 
 import type {CallRecord} from './callStory.js';
 import type {CallerExchange} from './callerExchange.js';
 
-/** What became of a call. */
+/** Builds the log record of a call from its exchange and outcome. */
 export function recordOf(
   {requestId, requestDigest, call, story, status}: CallerExchange,
   outcome: CallRecord['outcome'],
--- a/packages/node/src/request/callStory.ts
+++ b/packages/node/src/request/callStory.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** What is kept of a call's course, for one log line at its end. */
+/** The attempts of a call, collected for the log record at its end. */
 
 import type {Attempt, OfferTerms} from '@lockpin/brain';
 import type {AnnouncedState} from '@lockpin/routing';
@@ -10,48 +10,50 @@
   readonly terms: OfferTerms;
   /** Since the call arrived, in milliseconds. */
   readonly offeredAt: number;
-  /** What the entry knew of the upstream when it chose it. */
+  /** The upstream's state as the entry knew it at selection. */
   readonly knownState: AnnouncedState | 'unknown';
-  /** How old that knowledge was, in milliseconds. */
+  /** Age of that state in milliseconds. */
   readonly knownAge: number;
-  /** How it ended: a status, or the reason of a refusal. */
+  /** The result: an HTTP status, or the reason of a refusal. */
   readonly end: string;
   /** Since the call arrived, in milliseconds. */
   readonly endedAt: number;
 }
 
-/** A call from its arrival to its end at the entry. */
+/** The log record of a call, from its arrival to its end at the entry. */
 export interface CallRecord {
   readonly requestId: string;
-  /** The same for requests that an upstream cannot tell apart; see digestOf. */
+  /** Equal for requests that an upstream cannot distinguish. */
   readonly requestDigest: string;
   readonly service: string;
   readonly route: string;
-  /** Version of the configuration that it was served under. */
+  /** The configuration version that the call was served under. */
   readonly version: number;
   readonly outcome: 'answered' | 'not-run' | 'unknown' | 'caller-left';
   readonly reason: string;
-  /** The status that the caller got; 0 when it got none. */
+  /** The HTTP status sent to the caller; 0 when none was sent. */
   readonly status: number;
   readonly milliseconds: number;
   readonly attempts: readonly AttemptRecord[];
 }
 
-/** Attempts kept of one call; the last ones tell most. */
-const MOST_ATTEMPTS = 12;
+/**
+ * Attempts kept per call; the oldest are dropped, as the last ones tell most.
+ */
+const ATTEMPT_HISTORY_LIMIT = 12;
 
-/** Gathers the attempts of one call. */
+/** Collects the attempts of one call. */
 export class CallStory {
   private readonly records: AttemptRecord[] = [];
-  private open: Omit<AttemptRecord, 'end' | 'endedAt'> | undefined;
+  private current: Omit<AttemptRecord, 'end' | 'endedAt'> | undefined;
 
-  /** An offer goes out. */
+  /** Records that an offer was sent. */
   offered(
     now: number,
     attempt: Attempt,
     known: {readonly state: AnnouncedState; readonly age: number} | undefined,
   ): void {
-    this.open = {
+    this.current = {
       box: attempt.box,
       terms: attempt.terms,
       offeredAt: Math.round(now),
@@ -60,14 +62,14 @@
     };
   }
 
-  /** The offer under way ended. */
+  /** Records the result of the current offer. */
   ended(now: number, end: string): void {
-    if (this.open === undefined) {
+    if (this.current === undefined) {
       return;
     }
-    this.records.push({...this.open, end, endedAt: Math.round(now)});
-    this.open = undefined;
-    if (this.records.length > MOST_ATTEMPTS) {
+    this.records.push({...this.current, end, endedAt: Math.round(now)});
+    this.current = undefined;
+    if (this.records.length > ATTEMPT_HISTORY_LIMIT) {
       this.records.shift();
     }
   }
--- a/packages/node/src/request/callerApp.ts
+++ b/packages/node/src/request/callerApp.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** What callers see: their services, and keys for once-only calls. */
+/** The HTTP app for callers: calls to services, readiness and once keys. */
 
 import {App} from '@tinyhttp/app';
 import type {IncomingMessage, ServerResponse} from 'node:http';
@@ -8,17 +8,17 @@
 import {findService} from './callerRequest.js';
 import type {EntryService} from './entryService.js';
 
-/** Keys minted in one request at the most. */
-const MOST_KEYS = 100;
+/** The largest number of keys minted in one request. */
+const KEYS_PER_REQUEST_LIMIT = 100;
 
-/** What the app needs of its process. */
+/** What the app needs from its process. */
 export interface CallerAppDependencies {
   readonly entry: EntryService;
   readonly state: () => ConfigurationState;
   readonly isReady: () => boolean;
 }
 
-/** Makes the handler of the callers' server. */
+/** Creates the request handler of the callers' server. */
 export function createCallerApp(
   dependencies: CallerAppDependencies,
 ): RequestHandler {
@@ -50,10 +50,10 @@
   const view = findService(state(), request);
   const query = new URL(request.url ?? '/', 'http://lockpin').searchParams;
   const count = Number(query.get('count') ?? 1);
-  if (!Number.isInteger(count) || count < 1 || count > MOST_KEYS) {
+  if (!Number.isInteger(count) || count < 1 || count > KEYS_PER_REQUEST_LIMIT) {
     sendJson(response, 400, {
       field: 'count',
-      problem: `give 1 to ${MOST_KEYS}`,
+      problem: `give 1 to ${KEYS_PER_REQUEST_LIMIT}`,
     });
     return;
   }
@@ -69,7 +69,7 @@
   sendJson(response, 201, {keys});
 }
 
-/** Answers with JSON. */
+/** Sends a JSON response. */
 export function sendJson(
   response: ServerResponse,
   status: number,
--- a/packages/node/src/request/callerBody.ts
+++ b/packages/node/src/request/callerBody.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** How much of a caller's body is read before its call is offered. */
+/** Reads as much of a caller's body as is needed before the call is offered. */
 
 import type {IncomingMessage} from 'node:http';
 import {HELD_BODY_BYTES, ONCE_BODY_BYTES} from './bodyLimits.js';
@@ -7,24 +7,27 @@
 import {peekBody} from './peekBody.js';
 import {readBody} from './readBody.js';
 
-/** Enough of a long body to tell it from others of its length. */
+/** Bytes of a long body that distinguish it from others of its length. */
 const BEGINNING_BYTES = 8 * 1024;
 
-/** What a caller that sends at all has sent by then; one that stalls is not waited for. */
+/**
+ * How long to wait for the first bytes of a body. A caller that is sending
+ * delivers them in this time; a stalled caller is not waited for.
+ */
 const PEEK_MILLISECONDS = 200;
 
-/** The body of a request that has none. */
+/** The body of a request without one. */
 const EMPTY = Buffer.alloc(0);
 
-/** A body, as far as it was read. */
+/** A request body, as far as it was read. */
 export type CallerBody =
   | {readonly kind: 'held'; readonly bytes: Buffer}
-  /** It flows as it comes; its beginning is undefined where it came too late. */
+  /** Passed on as it arrives; no beginning when that did not arrive in time. */
   | {readonly kind: 'streamed'; readonly beginning: Buffer | undefined}
   | {readonly kind: 'too-large'}
   | {readonly kind: 'cut'};
 
-/** The whole body where it is short enough to be held. */
+/** Reads the whole body when it is short enough to be buffered. */
 export async function readBodyFor(
   request: IncomingMessage,
   call: CallerRequest,
@@ -52,7 +55,9 @@
   return typeof read === 'string' ? {kind: read} : {kind: 'held', bytes: read};
 }
 
-/** A body in pieces is held where it turns out to be short: it can be sent again then. */
+/**
+ * A chunked body that turns out short is buffered, so that it can be retried.
+ */
 async function peeked(
   request: IncomingMessage,
   bytesWanted: number,
--- a/packages/node/src/request/callerExchange.ts
+++ b/packages/node/src/request/callerExchange.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** One caller's request while it is served: body, attempts and answer. */
+/** The state of one caller's request while it is served. */
 
 import type {IncomingMessage, ServerResponse} from 'node:http';
 import type {Attempt} from '@lockpin/brain';
@@ -13,7 +13,7 @@
 import {CallStory} from './callStory.js';
 
 /** Answers up to this size are written together with their headers. */
-const ONE_WRITE_BYTES = 8 * 1024;
+const SINGLE_WRITE_LIMIT_BYTES = 8 * 1024;
 
 /** A request that became a call. */
 export interface ArrivedRequest {
@@ -26,15 +26,15 @@
   readonly arrivedAt: number;
 }
 
-/** Lives from a request's head to the end of its answer. */
+/** A call's body, attempts and answer, from its arrival to its end. */
 export class CallerExchange {
   readonly requestId: string;
   readonly call: CallerRequest;
   readonly arrivedAt: number;
-  /** The attempt under way; callbacks of earlier ones are ignored. */
+  /** Number of the current attempt; callbacks of earlier ones are ignored. */
   attemptSerial = 0;
   exchange: Exchange | undefined;
-  /** An attempt that goes on beside the one under way. */
+  /** An overdue attempt that runs alongside the current one. */
   overdue:
     | {
         readonly serial: number;
@@ -42,23 +42,29 @@
         answer: AnswerHead | undefined;
       }
     | undefined;
-  /** An answer at hand that may still be set aside for a retry. */
+  /** An answer that was received and may still be discarded for a retry. */
   heldAnswer: AnswerHead | undefined;
-  /** A whole answer that was set aside; passed on when no later attempt brings one. */
+  /**
+   * A complete answer of an earlier attempt, used when no later one succeeds.
+   */
   spareAnswer: AnswerHead | undefined;
   timer: NodeJS.Timeout | undefined;
-  /** Runs while the guard has neither started the call nor let it wait. */
+  /** Runs until the guard reserves a slot, queues the call or refuses it. */
   silenceTimer: NodeJS.Timeout | undefined;
   overdueTimer: NodeJS.Timeout | undefined;
-  /** Of the attempt under way, counted from when it has its slot. */
+  /** Time limit of the current attempt, counted from its slot reservation. */
   overdueMilliseconds: number | undefined;
-  /** The attempt under way may run: it needs no go, or has been given it. */
+  /**
+   * The current attempt may run: it needs no go signal, or has been sent it.
+   */
   isGoGiven = true;
-  /** Whether the call is within its customer's limit is not known yet. */
+  /** The admission check against the customer's limit is still pending. */
   isUndecided = false;
-  /** A guard keeps a slot for the attempt under way until that is known. */
+  /**
+   * A guard holds a slot for the current attempt until admission is decided.
+   */
   hasSlot = false;
-  /** The attempt under way may have reached its upstream. */
+  /** The current attempt may have reached its upstream. */
   mayHaveBegun = false;
   private readonly request: IncomingMessage;
   private readonly response: ServerResponse;
@@ -87,23 +93,23 @@
     return this.body !== undefined;
   }
 
-  /** Since the call arrived, in milliseconds. */
+  /** Milliseconds since the call arrived. */
   age(now: number): number {
     return now - this.arrivedAt;
   }
 
-  /** Ends the timers of the attempt under way. */
+  /** Clears the timers of the current attempt. */
   clearAttemptTimers(): void {
     clearTimeout(this.silenceTimer);
     clearTimeout(this.overdueTimer);
   }
 
-  /** The status that went to the caller; 0 when none did. */
+  /** The HTTP status sent to the caller; 0 when none was sent. */
   get status(): number {
     return this.hasBegun ? this.response.statusCode : 0;
   }
 
-  /** Whether the answer has begun to go to the caller. */
+  /** Whether any part of the answer was sent to the caller. */
   get hasBegun(): boolean {
     return this.response.headersSent;
   }
@@ -112,7 +118,7 @@
     return this.isEnded;
   }
 
-  /** The first frame of an attempt. */
+  /** Builds the first frame of an attempt. */
   head(now: number, attempt: Attempt, needsGo: boolean): CallHead {
     const {route, customer, weight, path, onceKey, view} = this.call;
     this.lastHead = {
@@ -144,7 +150,9 @@
     return this.lastHead;
   }
 
-  /** Takes the slot that the guard of the attempt under way keeps. */
+  /**
+   * Sends the go signal, which uses the slot reserved for the current attempt.
+   */
   go(): void {
     if (this.lastHead !== undefined) {
       const {method, path, headers, body, requestDigest} = this.lastHead;
@@ -152,7 +160,7 @@
     }
   }
 
-  /** The guard has a slot: let the caller's body flow to it. */
+  /** Streams the caller's body to the guard, once it has reserved a slot. */
   streamBody(): void {
     if (this.body !== undefined || this.exchange === undefined) {
       return;
@@ -170,11 +178,11 @@
     this.request.on('end', () => this.exchange?.sendEnd());
   }
 
-  /** Sends the head of an answer, and its body when it is at hand. */
+  /** Sends the head of an answer, with the body when it is complete. */
   sendHead(head: AnswerHead): void {
     const headers = this.protocol.answerHeaders(head);
     if (head.isUnframed) {
-      // The end of the connection is the end of the answer here too.
+      // Closing the connection marks the end of the answer here too.
       this.response.useChunkedEncodingByDefault = false;
       this.response.shouldKeepAlive = false;
     }
@@ -185,9 +193,11 @@
     }
   }
 
-  /** Short bodies go out in one write with the headers, which node does for text. */
+  /**
+   * Sends short bodies as text: Node.js writes text together with the headers.
+   */
   private endWith(body: Uint8Array | undefined): void {
-    if (body !== undefined && body.length <= ONE_WRITE_BYTES) {
+    if (body !== undefined && body.length <= SINGLE_WRITE_LIMIT_BYTES) {
       const bytes = Buffer.from(body.buffer, body.byteOffset, body.length);
       this.response.end(bytes.toString('latin1'), 'latin1');
     } else {
@@ -204,7 +214,9 @@
     this.response.end();
   }
 
-  /** Calls back once the caller can take more; chunks on their way add nothing. */
+  /**
+   * Calls back once when the caller can take more, however often it is called.
+   */
   onDrain(resume: () => void): void {
     if (this.awaitsDrain) {
       return;
@@ -216,7 +228,9 @@
     });
   }
 
-  /** An answer broke off: the caller must see that it is not whole. */
+  /**
+   * Destroys the response, so that the caller sees the answer as incomplete.
+   */
   breakOff(): void {
     this.isEnded = true;
     this.response.destroy();
@@ -228,7 +242,7 @@
   ): void {
     this.isEnded = true;
     if (this.body === undefined) {
-      // The rest of the body is not wanted; its connection cannot be used again.
+      // The rest of the body is not read, so the connection cannot be reused.
       this.response.shouldKeepAlive = false;
     }
     this.protocol.refuse(this.response, refusal, this.requestId, extraHeaders);
@@ -242,7 +256,7 @@
     ];
   }
 
-  /** undici checks a streamed body against the length that was announced. */
+  /** undici checks a streamed body against the declared content length. */
   private lengthHeader(): readonly string[] {
     const length = this.request.headers['content-length'];
     return this.body === undefined && length !== undefined
@@ -251,7 +265,7 @@
   }
 }
 
-/** The last part of a name; the service is known where it is used. */
+/** The last segment of a name; the service is sent separately. */
 function shortName(name: string): string {
   return name.slice(name.lastIndexOf('/') + 1);
 }
--- a/packages/node/src/request/callerProtocol.ts
+++ b/packages/node/src/request/callerProtocol.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** How callers' requests are read, and how answers and refusals are written. */
+/** Parses callers' requests and formats answers and refusals. */
 
 import type {IncomingMessage, ServerResponse} from 'node:http';
 import {v7} from 'uuid';
@@ -12,15 +12,18 @@
 import {callHeaders} from './headers.js';
 import {sendProblem} from './problem.js';
 
-/** A deployment's way of talking to callers. */
+/** The HTTP conventions between a deployment and its callers. */
 export interface CallerProtocol {
-  /** Names the request in logs and answers. */
+  /** Identifies the request in logs and answers. */
   readonly requestId: (request: IncomingMessage) => string;
-  /** Reads the request, or says why it cannot be routed; it has not run then. */
+  /**
+   * Parses the request; a failure tells why it cannot be routed and did not
+   * run.
+   */
   readonly read: (
     request: IncomingMessage,
   ) => Result<CallerRequest, UnroutedRequest>;
-  /** The headers that go with a call; attempts count from 1. */
+  /** The request headers sent to the upstream; attempts count from 1. */
   readonly callHeaders: (
     request: IncomingMessage,
     requestId: string,
@@ -36,7 +39,7 @@
   ) => void;
 }
 
-/** The product's own way; see docs/guides/callers.md. */
+/** The default protocol; see docs/guides/callers.md. */
 export function lockpinCallerProtocol(
   state: () => ConfigurationState,
 ): CallerProtocol {
--- a/packages/node/src/request/callerRequest.ts
+++ b/packages/node/src/request/callerRequest.ts
@@ -1,5 +1,7 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Reads from a caller's request what it calls and under which terms. */
+/**
+ * Parses a caller's request: service, route, customer, timeout and once key.
+ */
 
 import type {IncomingMessage} from 'node:http';
 import {findRoute} from '@lockpin/configuration';
@@ -27,7 +29,7 @@
 /** A request that cannot be routed; it has not run. */
 export interface UnroutedRequest {
   readonly reason: RefusalReason;
-  /** What decided it, for the log; nothing of it is secret. */
+  /** Details for the log; must not contain secrets. */
   readonly detail?: Readonly<Record<string, string | number>>;
 }
 
@@ -35,21 +37,24 @@
 export interface CallerRequest {
   readonly view: ServiceView;
   readonly route: Resource<'Route'>;
-  /** The calling customer, and its weight where customers share. */
+  /** The calling customer; `weight` is its fair-share weight. */
   readonly customer: string;
   readonly weight: number;
   /** 0 is the most urgent. */
   readonly priority: number;
-  /** The customer whose key the caller showed, as its upstream is told. */
+  /** The customer whose key the caller presented; passed to the upstream. */
   readonly keyOwner: string | undefined;
-  /** Who calls, as far as requests differ by it; the upstreams of all boxes are one. */
+  /**
+   * The caller as part of the request digest; the same for calls from the
+   * upstreams of all boxes.
+   */
   readonly caller: string;
   readonly path: string;
   readonly waitMilliseconds: number;
   readonly onceKey: OnceKey | undefined;
   readonly isFirstWithKey: boolean;
   readonly isCallersRetry: boolean;
-  /** Version of the configuration that the call is served under. */
+  /** The configuration version that the call is served under. */
   readonly version: number;
 }
 
@@ -58,7 +63,7 @@
   state: ConfigurationState,
   request: IncomingMessage,
 ): ServiceView | undefined {
-  const named = single(request, CALLER_HEADERS.service);
+  const named = firstHeader(request, CALLER_HEADERS.service);
   if (named !== undefined) {
     return state.service(named);
   }
@@ -66,7 +71,9 @@
   return state.serviceByHost(host) ?? state.serviceByHost(withoutPort(host));
 }
 
-/** Reads the request, or says why it cannot be routed; it has not run then. */
+/**
+ * Parses the request; a failure tells why it cannot be routed and did not run.
+ */
 export function readCallerRequest(
   state: ConfigurationState,
   request: IncomingMessage,
@@ -76,7 +83,7 @@
     return failure('service-unknown');
   }
   const {callerCredentialHash} = view.service.spec;
-  if (!isCredentialRight(request, callerCredentialHash)) {
+  if (!isCredentialValid(request, callerCredentialHash)) {
     return failure('credential-wrong');
   }
   const path = request.url ?? '/';
@@ -84,15 +91,15 @@
   if (route === undefined) {
     return failure('route-unknown');
   }
-  const wait = waitOf(request, route.spec.waitMilliseconds);
+  const wait = parseTimeout(request, route.spec.waitMilliseconds);
   if (wait === undefined) {
     return failure('request-malformed');
   }
-  const key = onceKeyOf(request, route);
+  const key = readOnceKey(request, route);
   if (!key.ok) {
     return key;
   }
-  const calling = callingCustomer(state, request, view);
+  const calling = findCustomer(state, request, view);
   return success({
     view,
     route,
@@ -103,38 +110,44 @@
     path,
     waitMilliseconds: wait,
     onceKey: key.value,
-    isFirstWithKey: single(request, CALLER_HEADERS.firstWithKey) === 'first',
-    isCallersRetry: single(request, CALLER_HEADERS.retry) !== undefined,
+    isFirstWithKey:
+      firstHeader(request, CALLER_HEADERS.firstWithKey) === 'first',
+    isCallersRetry: firstHeader(request, CALLER_HEADERS.retry) !== undefined,
     version: state.version,
   });
 }
 
-function isCredentialRight(request: IncomingMessage, hash: string): boolean {
+function isCredentialValid(request: IncomingMessage, hash: string): boolean {
   if (hash === '') {
     return true;
   }
   const [salt = '', expected = ''] = hash.split(':');
-  const given = single(request, CALLER_HEADERS.credential) ?? '';
+  const given = firstHeader(request, CALLER_HEADERS.credential) ?? '';
   return equalInConstantTime(saltedHash(salt, given), expected);
 }
 
-/** The caller's wait, capped by the rule; undefined when it is no number. */
-function waitOf(request: IncomingMessage, most: number): number | undefined {
-  const asked = single(request, CALLER_HEADERS.timeout);
-  if (asked === undefined) {
-    return most;
+/** The caller's timeout, capped by the route's; undefined when malformed. */
+function parseTimeout(
+  request: IncomingMessage,
+  limit: number,
+): number | undefined {
+  const requested = firstHeader(request, CALLER_HEADERS.timeout);
+  if (requested === undefined) {
+    return limit;
   }
-  return /^\d{1,9}$/.test(asked) ? Math.min(Number(asked), most) : undefined;
+  return /^\d{1,9}$/.test(requested)
+    ? Math.min(Number(requested), limit)
+    : undefined;
 }
 
-function onceKeyOf(
+function readOnceKey(
   request: IncomingMessage,
   route: Resource<'Route'>,
 ): Result<OnceKey | undefined, RefusalReason> {
   if (route.spec.repetition !== 'once-only') {
     return success(undefined);
   }
-  const text = single(request, route.spec.onceKeyHeader);
+  const text = firstHeader(request, route.spec.onceKeyHeader);
   if (text === undefined) {
     return failure('once-key-missing');
   }
@@ -142,12 +155,12 @@
   return key === undefined ? failure('once-key-malformed') : success(key);
 }
 
-function callingCustomer(
+function findCustomer(
   state: ConfigurationState,
   request: IncomingMessage,
   view: ServiceView,
 ): {readonly customer: string; readonly weight: number} {
-  const named = single(request, CALLER_HEADERS.customer) ?? view.customer;
+  const named = firstHeader(request, CALLER_HEADERS.customer) ?? view.customer;
   const customer =
     state.get('Customer', named) ?? state.get('Customer', view.customer);
   return {
@@ -156,7 +169,10 @@
   };
 }
 
-function single(request: IncomingMessage, name: string): string | undefined {
+function firstHeader(
+  request: IncomingMessage,
+  name: string,
+): string | undefined {
   const value = request.headers[name];
   return Array.isArray(value) ? value[0] : value;
 }
--- a/packages/node/src/request/earlyRefusals.ts
+++ b/packages/node/src/request/earlyRefusals.ts
@@ -1,32 +1,32 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Refusals of requests that never became calls. */
+/** Refuses requests before they become calls. */
 
 import type {IncomingMessage, ServerResponse} from 'node:http';
 import type {Refusal, RefusalReason} from '@lockpin/types';
 import {HELD_BODY_BYTES} from './bodyLimits.js';
 import type {EntryServiceDependencies} from './entryServiceDependencies.js';
 
-/** When a caller of a node that is not ready may come back, in milliseconds. */
+/** Retry delay given while the node is not ready, in milliseconds. */
 const NOT_READY_RETRY_MILLISECONDS = 500;
 
-/** When a caller whose key could not be confirmed may come back, in milliseconds. */
+/** Retry delay given when a key could not be confirmed, in milliseconds. */
 const OUTDATED_RETRY_MILLISECONDS = 500;
 
-/** Reasons that tell when to come back, in milliseconds; 0 for all others. */
+/** Retry delay by reason, in milliseconds; 0 for all others. */
 const RETRY_MILLISECONDS: Readonly<Partial<Record<RefusalReason, number>>> = {
   'not-ready': NOT_READY_RETRY_MILLISECONDS,
   'keys-outdated': OUTDATED_RETRY_MILLISECONDS,
 };
 
-/** A request that is refused before it is a call. */
+/** A request that is refused before it becomes a call. */
 export interface RefusedRequest {
   readonly response: ServerResponse;
   readonly requestId: string;
-  /** Given when its body was not read yet. */
+  /** Present when its body has not been read yet. */
   readonly request?: IncomingMessage;
 }
 
-/** Why this node takes no request at all now; undefined when it does. */
+/** Why this node accepts no requests now; undefined when it does. */
 export function reasonNotToServe({
   isLeaving,
   isReady,
@@ -38,7 +38,7 @@
   return isReady() ? undefined : 'not-ready';
 }
 
-/** Refuses a request; its connection is kept if what is left of it is short. */
+/** Refuses a request; keeps the connection if the unread body is short. */
 export function refuseEarly(
   dependencies: Pick<
     EntryServiceDependencies,
@@ -63,7 +63,7 @@
   logger.debug('call refused', {requestId, reason});
 }
 
-/** Whether what is left of a request can be read and dropped at no great cost. */
+/** Whether the unread body is short enough to be read and discarded. */
 function hasShortBody({headers}: IncomingMessage): boolean {
   const length = Number(headers['content-length'] ?? 0);
   return !('transfer-encoding' in headers) && length <= HELD_BODY_BYTES;
--- a/packages/node/src/request/entryCall.ts
+++ b/packages/node/src/request/entryCall.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** What the entry's brain is told of a call, and what tells calls apart. */
+/** Builds a call for the entry's decision logic, and its request digest. */
 
 import type {IncomingMessage} from 'node:http';
 import type {EntryCall} from '@lockpin/brain';
@@ -7,13 +7,14 @@
 import type {ArrivedRequest, CallerExchange} from './callerExchange.js';
 import type {CallerRequest} from './callerRequest.js';
 
-/** Bytes of the digest of a request; every slot that is taken carries them. */
+/** Length of a request digest; it is sent each time a slot is taken. */
 const DIGEST_BYTES = 12;
 
 /**
- * The same for two requests that an upstream cannot tell apart, whoever sends them at
- * whichever box. A streamed body counts by its length and its beginning; empty where that
- * came too late.
+ * The digest of a request: equal for requests that an upstream cannot
+ * distinguish, at whichever box they arrive. A streamed body is represented by
+ * its length and its beginning; the digest is empty when the beginning did not
+ * arrive in time.
  */
 export function digestOf(
   {method = 'GET', headers}: IncomingMessage,
@@ -31,7 +32,7 @@
   return content === undefined ? '' : shortDigest(head, content, DIGEST_BYTES);
 }
 
-/** The call as the entry's brain is told of it. */
+/** Builds the call as the entry's decision logic receives it. */
 export function entryCall(
   {id, call, isReplayable, requestDigest}: CallerExchange,
   bytes: number,
--- a/packages/node/src/request/entryService.ts
+++ b/packages/node/src/request/entryService.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** The entry's side of a call: from the caller's request to its answer. */
+/** The entry's side of a call, from the caller's request to its answer. */
 
 import type {IncomingMessage, ServerResponse} from 'node:http';
 import type {EntryAction, EntryEvent} from '@lockpin/brain';
@@ -20,20 +20,20 @@
 
 export type {EntryServiceDependencies} from './entryServiceDependencies.js';
 
-type GivenUp = EntryEvent & {readonly kind: 'given-up'};
+type GivenUpEvent = EntryEvent & {readonly kind: 'given-up'};
 
-/** Calls from callers, each until its answer or refusal. */
+/** Serves callers' calls, each until its answer or refusal. */
 export class EntryService {
   private readonly exchanges = new Map<string, CallerExchange>();
-  private readonly course: AttemptCourse;
+  private readonly attempts: AttemptCourse;
   private readonly admission: CallAdmission;
-  private readonly reception: CallReception;
+  private readonly receiver: CallReception;
   private serial = 0;
 
   constructor(private readonly dependencies: EntryServiceDependencies) {
     this.admission = new CallAdmission(dependencies);
-    this.reception = new CallReception(dependencies, this.admission);
-    this.course = new AttemptCourse({
+    this.receiver = new CallReception(dependencies, this.admission);
+    this.attempts = new AttemptCourse({
       ...dependencies,
       tell: (event) => this.handle(event),
       onAnswerOver: (exchange) => this.ended(exchange),
@@ -51,23 +51,27 @@
     response: ServerResponse,
   ): Promise<void> {
     try {
-      const received = await this.reception.receive(request, response);
+      const received = await this.receiver.receive(request, response);
       if (received !== undefined) {
-        this.arrived(received);
+        this.startCall(received);
       }
     } catch (error) {
-      // One call must not bring down the others; its caller sees it break.
+      // An internal error ends only this call: its connection is closed.
       const detail = String((error as Error).stack);
-      this.dependencies.logger.error('a call failed in lockpin', {detail});
+      this.dependencies.logger.error(
+        'internal error while serving a call; closing its connection',
+        {detail},
+      );
       response.destroy();
     }
   }
 
   /**
-   * The pool's word comes while guards are asked for a slot already; no guard is told
-   * to go before it. Calls with a short goal do not have the time to wait for it first.
+   * Applies the admission decision. Guards are offered the call while the
+   * decision is pending, because calls with a short latency goal cannot wait
+   * for it first, but no guard gets the go signal before it.
    */
-  private async decide(
+  private async applyAdmission(
     exchange: CallerExchange,
     pending: Promise<Admission>,
   ): Promise<void> {
@@ -75,19 +79,19 @@
     if (!this.exchanges.has(exchange.id)) {
       void this.admission.giveBack(exchange.call, admission);
     } else if (admission.kind === 'admitted') {
-      this.course.admitted(exchange);
+      this.attempts.admitted(exchange);
     } else {
-      this.course.cancel(exchange);
+      this.attempts.cancel(exchange);
       this.refuse(exchange, refusalFor(admission));
     }
   }
 
-  /** A key bound to the home of an upstream that takes calls now. */
+  /** Mints a key bound to the home of an upstream that accepts calls now. */
   mintKey(view: ServiceView): string | undefined {
     return mintKeyFor(this.dependencies, view);
   }
 
-  private arrived({arrived, pending}: ReceivedCall): void {
+  private startCall({arrived, pending}: ReceivedCall): void {
     const {protocol, mayBeRepeat} = this.dependencies;
     const {request, response, call, body, arrivedAt} = arrived;
     const digest = digestOf(request, call, body);
@@ -97,12 +101,12 @@
     this.exchanges.set(id, exchange);
     if (pending !== undefined) {
       exchange.isUndecided = true;
-      void this.decide(exchange, pending);
+      void this.applyAdmission(exchange, pending);
     }
-    response.on('close', () => this.closed(exchange));
+    response.on('close', () => this.handleClose(exchange));
     this.watchConnection(request, response, exchange);
     const deadline = arrivedAt + call.waitMilliseconds;
-    this.watchDeadline(exchange);
+    this.startDeadlineTimer(exchange);
     const bytes = body.kind === 'held' ? body.bytes.length : HELD_BODY_BYTES;
     this.handle({
       kind: 'call-arrived',
@@ -111,8 +115,9 @@
   }
 
   /**
-   * The answer to a pipelined request has no connection of its own until its
-   * turn comes, and is not told when the caller leaves.
+   * Watches the socket as well as the response: the response to a pipelined
+   * request gets its socket only when its turn comes, and emits no close event
+   * before.
    */
   private watchConnection(
     request: IncomingMessage,
@@ -120,21 +125,24 @@
     exchange: CallerExchange,
   ): void {
     const {socket} = request;
-    const left = (): void => this.closed(exchange);
+    const onClose = (): void => this.handleClose(exchange);
     socket.setMaxListeners(0);
-    socket.once('close', left);
-    response.once('finish', () => socket.off('close', left));
+    socket.once('close', onClose);
+    response.once('finish', () => socket.off('close', onClose));
   }
 
-  /** Timers stood still while the clock went on: what is overdue ends now. */
+  /**
+   * Restarts all deadline timers after a suspension of the machine, during
+   * which the clock advances and timers do not; overdue calls end at once.
+   */
   reviewDeadlines(): void {
     this.exchanges.forEach((exchange) => {
       clearTimeout(exchange.timer);
-      this.watchDeadline(exchange);
+      this.startDeadlineTimer(exchange);
     });
   }
 
-  private watchDeadline(exchange: CallerExchange): void {
+  private startDeadlineTimer(exchange: CallerExchange): void {
     const {arrivedAt, call} = exchange;
     const deadline = arrivedAt + call.waitMilliseconds;
     exchange.timer = setTimeout(
@@ -144,8 +152,9 @@
   }
 
   /**
-   * The process ends before these calls do. Each gets its final answer, true as
-   * far as is known here; a closed connection would leave its caller guessing.
+   * Ends all calls because the process is stopping. Each is refused with the
+   * outcome known here; a closed connection would leave the outcome unclear to
+   * the caller.
    */
   giveUpAll(): void {
     [...this.exchanges.values()].forEach((exchange) =>
@@ -153,7 +162,7 @@
     );
   }
 
-  /** No upstream is to run the request: what has not begun is refused at once. */
+  /** Refuses calls with a quarantined request that have not started to run. */
   requestQuarantined(digest: string): void {
     [...this.exchanges.values()]
       .filter(
@@ -163,9 +172,12 @@
       .forEach((exchange) => this.giveUp(exchange, 'request-quarantined'));
   }
 
-  private giveUp(exchange: CallerExchange, reason: GivenUp['reason']): void {
+  private giveUp(
+    exchange: CallerExchange,
+    reason: GivenUpEvent['reason'],
+  ): void {
     const wasSent = exchange.mayHaveBegun;
-    this.course.noteEnd(exchange, reason);
+    this.attempts.noteEnd(exchange, reason);
     this.handle({kind: 'given-up', callId: exchange.id, reason, wasSent});
   }
 
@@ -185,7 +197,7 @@
     }
     switch (action.kind) {
       case 'attempt':
-        this.course.attempt(exchange, action.attempt);
+        this.attempts.attempt(exchange, action.attempt);
         break;
       case 'refuse':
         this.refuse(exchange, action.refusal);
@@ -194,25 +206,25 @@
         this.passAnswer(exchange);
         break;
       case 'pass-spare-answer':
-        this.course.cancel(exchange);
+        this.attempts.cancel(exchange);
         exchange.heldAnswer = exchange.spareAnswer;
         this.passAnswer(exchange);
         break;
       case 'pause':
-        this.course.pause(exchange, action.milliseconds);
+        this.attempts.pause(exchange, action.milliseconds);
         break;
       case 'keep-overdue':
-        this.course.keepOverdue(exchange);
+        this.attempts.keepOverdue(exchange);
         break;
       case 'cancel-overdue':
-        this.course.cancelOverdue(exchange);
+        this.attempts.cancelOverdue(exchange);
         break;
       case 'pass-overdue-answer':
-        this.course.takeOverdueAnswer(exchange);
+        this.attempts.takeOverdueAnswer(exchange);
         this.passAnswer(exchange);
         break;
       case 'cancel-attempt':
-        this.course.cancel(exchange);
+        this.attempts.cancel(exchange);
         break;
     }
   }
@@ -227,13 +239,13 @@
     metrics.timing('calls.milliseconds', exchange.age(clock()));
     exchange.heldAnswer = undefined;
     exchange.sendHead(head);
-    this.record(exchange, 'answered', '');
+    this.recordEnd(exchange, 'answered', '');
     if (!head.hasMore) {
       this.ended(exchange);
     }
   }
 
-  private record(
+  private recordEnd(
     exchange: CallerExchange,
     outcome: CallRecord['outcome'],
     reason: string,
@@ -250,16 +262,16 @@
       this.ended(exchange);
       return;
     }
-    const fresh = freshKeyHeader(this.dependencies, exchange.call, refusal);
-    exchange.refuse(refusal, fresh);
-    this.note(exchange, refusal);
+    const keyHeader = freshKeyHeader(this.dependencies, exchange.call, refusal);
+    exchange.refuse(refusal, keyHeader);
+    this.reportRefusal(exchange, refusal);
     this.ended(exchange);
   }
 
-  private note(exchange: CallerExchange, refusal: Refusal): void {
+  private reportRefusal(exchange: CallerExchange, refusal: Refusal): void {
     const {reason, outcome} = refusal;
     const {requestId, call} = exchange;
-    this.record(exchange, outcome, reason);
+    this.recordEnd(exchange, outcome, reason);
     if (outcome === 'not-run' && !exchange.isUndecided) {
       this.admission.notRun(call);
     }
@@ -272,21 +284,21 @@
     });
   }
 
-  /** The caller left, or its answer is through. */
-  private closed(exchange: CallerExchange): void {
+  /** The connection closed: the caller left, or the answer was sent. */
+  private handleClose(exchange: CallerExchange): void {
     if (this.exchanges.has(exchange.id) && !exchange.isOver) {
-      this.record(exchange, 'caller-left', 'caller-left');
+      this.recordEnd(exchange, 'caller-left', 'caller-left');
       this.handle({kind: 'caller-left', callId: exchange.id});
-      this.forget(exchange);
+      this.remove(exchange);
     }
   }
 
   private ended(exchange: CallerExchange): void {
     this.handle({kind: 'answer-ended', callId: exchange.id});
-    this.forget(exchange);
+    this.remove(exchange);
   }
 
-  private forget(exchange: CallerExchange): void {
+  private remove(exchange: CallerExchange): void {
     clearTimeout(exchange.timer);
     exchange.clearAttemptTimers();
     this.exchanges.delete(exchange.id);
--- a/packages/node/src/request/entryServiceDependencies.ts
+++ b/packages/node/src/request/entryServiceDependencies.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** What the entry's service needs of its process. */
+/** The dependencies of the entry service. */
 
 import type {EntryBrain} from '@lockpin/brain';
 import type {Admission} from '@lockpin/limits';
@@ -12,7 +12,7 @@
 import type {CallHead} from './frames.js';
 import type {RefusedRecord} from './refusedRecord.js';
 
-/** What the entry's service needs of its process. */
+/** What the entry service needs from its process. */
 export interface EntryServiceDependencies {
   readonly clock: Clock;
   readonly random: RandomSource;
@@ -24,28 +24,28 @@
   readonly isReady: () => boolean;
   readonly isLeaving: () => boolean;
   /**
-   * Whether the keys known here are the newest; asked before a caller is told that
-   * its key is unknown. Absent where no keys are distributed.
+   * Checks that the keys known here are the newest, before a key is refused as
+   * unknown. Absent when no keys are distributed.
    */
   readonly confirmKeys?: () => Promise<boolean>;
-  /** Whether a customer may make a call now; absent where there are no limits. */
+  /** Checks a call against its customer's limit; absent without limits. */
   readonly admit?: (customer: string) => Admission | Promise<Admission>;
-  /** A call that was admitted has run nowhere, and will not. */
+  /** Called when an admitted call did not run and will not. */
   readonly onNotRun?: (customer: string) => void;
-  /** Told of requests that are refused for who their caller is. */
+  /** Called for requests refused because of their caller. */
   readonly onUnrouted?: (record: RefusedRecord) => void;
-  /** Whether a call that begins here may be an upstream's, made a second time. */
+  /** Whether calls that begin here may be repeats, made by an upstream. */
   readonly mayBeRepeat: () => boolean;
-  /** The process now on a box, for minting once keys. */
+  /** The incarnation of the current process on a box, for minting once keys. */
   readonly incarnation: (box: string) => string | undefined;
   readonly isOwnBox: (box: string) => boolean;
-  /** Whether a guard must reserve a slot for a call before it may run it. */
+  /** Whether a guard must reserve a slot and wait for the go signal. */
   readonly needsGo: (box: string, repetition: Repetition) => boolean;
-  /** The guard of a box was silent. */
+  /** Called when the guard of a box did not respond in time. */
   readonly onSilence?: (box: string) => void;
-  /** Told of every call at its end. */
+  /** Called at the end of every call. */
   readonly onEnded?: (record: CallRecord) => void;
-  /** Begins an exchange with the guard of a box. */
+  /** Starts an exchange with the guard of a box. */
   readonly begin: (
     box: string,
     head: CallHead,
--- a/packages/node/src/request/exchange.ts
+++ b/packages/node/src/request/exchange.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** One exchange with a guard, whether it is in this process or another. */
+/** An exchange with a guard, in this process or on another box. */
 
 import type {
   AnswerHead,
@@ -8,34 +8,34 @@
   RefusalFrame,
 } from './frames.js';
 
-/** What a guard does to the entry that called it. */
+/** Callbacks from the guard to the entry. */
 export interface ExchangeHandlers {
-  /** There is a slot: say go, or send the rest of the body. */
+  /** A slot is reserved: send the go signal or the rest of the body. */
   readonly onContinue: () => void;
-  /** The call waits for a slot. */
+  /** The call is queued for a slot. */
   readonly onQueued: () => void;
   readonly onAnswer: (head: AnswerHead) => void;
-  /** Returns false when the caller cannot take more for now. */
+  /** Returns false to pause until resume is called. */
   readonly onChunk: (bytes: Buffer) => boolean;
   readonly onEnd: () => void;
   readonly onRefusal: (refusal: RefusalFrame) => void;
-  /** The guard or the way to it broke. */
+  /** The guard or the connection to it failed. */
   readonly onLost: (wasSent: boolean) => void;
 }
 
-/** What an entry does to the guard it called. */
+/** Operations of the entry on the guard. */
 export interface Exchange {
-  /** Returns false when no more should be sent until onContinue. */
+  /** Returns false to pause until onContinue is called. */
   readonly sendChunk: (bytes: Buffer) => boolean;
   readonly sendEnd: () => void;
-  /** Takes the slot that the guard keeps, for the request of the call. */
+  /** Sends the request, which uses the slot that the guard has reserved. */
   readonly go: (request: CallRequest) => void;
-  /** The caller can take more of the answer. */
+  /** Continues a paused answer. */
   readonly resume: () => void;
   readonly cancel: () => void;
 }
 
-/** Begins an exchange. */
+/** Starts an exchange. */
 export type BeginExchange = (
   head: CallHead,
   handlers: ExchangeHandlers,
--- a/packages/node/src/request/exchangeStream.ts
+++ b/packages/node/src/request/exchangeStream.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** The entry's end of a stream that carries many exchanges with one guard. */
+/** Client side of a stream that multiplexes exchanges with one guard. */
 
 import type grpc from '@grpc/grpc-js';
 import type {Exchange, ExchangeHandlers} from './exchange.js';
@@ -8,28 +8,28 @@
 import type {CallHead, PeerNews} from './frames.js';
 import {neverSent} from './remoteExchange.js';
 
-/** A stream that carried nothing this long is ended. */
+/** Time without exchanges after which a stream is closed. */
 const IDLE_MILLISECONDS = 60_000;
 
-/** Unanswered offers after which another connection is tried. */
-const SILENCES_TO_RENEW = 2;
+/** Consecutive unanswered offers after which a new connection is opened. */
+const RECONNECT_UNANSWERED_OFFERS = 2;
 
-/** The number of frames that belong to no exchange. */
+/** Exchange number of frames that belong to no exchange. */
 export const NO_EXCHANGE = 0;
 
 interface OpenExchange {
   readonly handlers: ExchangeHandlers;
-  /** Bytes taken from the guard and not yet by the caller. */
-  owed: number;
+  /** Bytes received from the guard that the caller has not taken yet. */
+  uncreditedBytes: number;
 }
 
-/** One stream; when it breaks, every exchange on it is lost. */
+/** A stream of exchanges; when it breaks, all exchanges on it are lost. */
 export class ExchangeStream {
-  private readonly open = new Map<number, OpenExchange>();
+  private readonly openExchanges = new Map<number, OpenExchange>();
   private readonly batch: FrameBatch;
   private serial = 0;
-  /** Offers that were not answered since anything was last heard. */
-  private silences = 0;
+  /** Unanswered offers since the last message was received. */
+  private unansweredOffers = 0;
   private hasBroken = false;
   private isKept = false;
   private idleTimer: NodeJS.Timeout | undefined;
@@ -45,16 +45,16 @@
       }
     }, onFrameBytes);
     stream.on('data', (bytes: Buffer) => {
-      this.silences = 0;
-      readBatch(bytes, onFrameBytes).forEach((frame) => this.take(frame));
+      this.unansweredOffers = 0;
+      readBatch(bytes, onFrameBytes).forEach((frame) => this.receive(frame));
     });
-    stream.on('end', () => this.broke(true));
+    stream.on('end', () => this.handleBreak(true));
     stream.on('error', (error: grpc.ServiceError) =>
-      this.broke(!neverSent(error)),
+      this.handleBreak(!neverSent(error)),
     );
   }
 
-  /** Whether exchanges can still be begun here. */
+  /** Whether new exchanges can be started. */
   get isUsable(): boolean {
     return !this.hasBroken;
   }
@@ -63,8 +63,8 @@
     clearTimeout(this.idleTimer);
     this.serial += 1;
     const number = this.serial;
-    const opened: OpenExchange = {handlers, owed: 0};
-    this.open.set(number, opened);
+    const opened: OpenExchange = {handlers, uncreditedBytes: 0};
+    this.openExchanges.set(number, opened);
     this.batch.add(number, {kind: 'call', head: offerOf(head)});
     return {
       sendChunk: () => true,
@@ -72,7 +72,7 @@
       go: (request) => this.batch.add(number, {kind: 'go', request}),
       resume: () => this.giveCredit(number, opened),
       cancel: () => {
-        if (this.open.has(number)) {
+        if (this.openExchanges.has(number)) {
           this.batch.add(number, {kind: 'cancel'});
           this.close(number);
         }
@@ -80,29 +80,29 @@
     };
   }
 
-  /** Whether the stream stays open while it carries nothing. */
+  /** Sets whether the stream stays open without exchanges. */
   keep(isKept: boolean): void {
     this.isKept = isKept;
-    this.endWhenIdle();
+    this.scheduleIdleEnd();
   }
 
-  /** Tells the guard's node something that belongs to no call. */
+  /** Sends news, which belongs to no call, to the guard's node. */
   tell(news: PeerNews): void {
     this.batch.add(NO_EXCHANGE, {kind: 'news', news});
   }
 
-  /** The guard did not answer an offer; true when it is silent altogether. */
+  /** Counts an unanswered offer; true when the connection is to be replaced. */
   wasSilent(): boolean {
-    this.silences += 1;
-    return this.silences >= SILENCES_TO_RENEW;
+    this.unansweredOffers += 1;
+    return this.unansweredOffers >= RECONNECT_UNANSWERED_OFFERS;
   }
 
-  private take({number, frame}: NumberedFrame): void {
+  private receive({number, frame}: NumberedFrame): void {
     if (frame.kind === 'news') {
       this.onNews(frame.news);
       return;
     }
-    const opened = this.open.get(number);
+    const opened = this.openExchanges.get(number);
     if (opened === undefined) {
       return;
     }
@@ -121,7 +121,7 @@
         handlers.onAnswer(frame.head);
         break;
       case 'chunk':
-        opened.owed += frame.bytes.length;
+        opened.uncreditedBytes += frame.bytes.length;
         if (handlers.onChunk(frame.bytes)) {
           this.giveCredit(number, opened);
         }
@@ -142,20 +142,20 @@
   }
 
   private giveCredit(number: number, opened: OpenExchange): void {
-    if (opened.owed > 0 && this.open.has(number)) {
-      this.batch.add(number, {kind: 'credit', bytes: opened.owed});
-      opened.owed = 0;
+    if (opened.uncreditedBytes > 0 && this.openExchanges.has(number)) {
+      this.batch.add(number, {kind: 'credit', bytes: opened.uncreditedBytes});
+      opened.uncreditedBytes = 0;
     }
   }
 
   private close(number: number): void {
-    this.open.delete(number);
-    this.endWhenIdle();
+    this.openExchanges.delete(number);
+    this.scheduleIdleEnd();
   }
 
-  private endWhenIdle(): void {
+  private scheduleIdleEnd(): void {
     clearTimeout(this.idleTimer);
-    if (this.open.size === 0 && !this.isKept) {
+    if (this.openExchanges.size === 0 && !this.isKept) {
       this.idleTimer = setTimeout(() => this.end(), IDLE_MILLISECONDS);
       this.idleTimer.unref();
     }
@@ -166,16 +166,16 @@
     this.stream.end();
   }
 
-  private broke(wasSent: boolean): void {
+  private handleBreak(wasSent: boolean): void {
     this.hasBroken = true;
     clearTimeout(this.idleTimer);
-    const left = [...this.open.values()];
-    this.open.clear();
-    left.forEach(({handlers}) => handlers.onLost(wasSent));
+    const lost = [...this.openExchanges.values()];
+    this.openExchanges.clear();
+    lost.forEach(({handlers}) => handlers.onLost(wasSent));
   }
 }
 
-/** An offer goes without its request, which only the guard that takes it needs. */
+/** Omits the request from an offer; the guard gets it with the go signal. */
 function offerOf(head: CallHead): CallHead {
   if (!head.needsGo) {
     return head;
--- a/packages/node/src/request/exchangeStreamServer.ts
+++ b/packages/node/src/request/exchangeStreamServer.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** The guard's end of a stream that carries many exchanges. */
+/** Server side of a stream that multiplexes exchanges with one entry. */
 
 import type grpc from '@grpc/grpc-js';
 import type {BeginExchange, Exchange, ExchangeHandlers} from './exchange.js';
@@ -8,7 +8,9 @@
 import {NO_EXCHANGE} from './exchangeStream.js';
 import type {PeerNews} from './frames.js';
 
-/** Bytes of one answer that may be on their way before the caller takes them. */
+/**
+ * Flow-control window: bytes of an answer sent before the caller takes them.
+ */
 const ANSWER_CREDIT_BYTES = 256 * 1024;
 
 interface OpenExchange {
@@ -16,79 +18,83 @@
   credit: number;
 }
 
-/** What the ends of a stream tell each other besides calls. */
+/** Handles the news that the ends of a stream send besides calls. */
 export interface NewsExchange {
-  /** What an end is told when the stream begins. */
+  /** The news sent when the stream opens. */
   readonly first: () => PeerNews;
-  /** An answer goes back on the stream that brought the news. */
+  /** Handles received news; `answer` replies on the same stream. */
   readonly onNews: (news: PeerNews, answer: (news: PeerNews) => void) => void;
-  /** Calls back with each piece of news; returns what stops that. */
+  /**
+   * Subscribes to news for all peers; returns the function that unsubscribes.
+   */
   readonly subscribe: (tell: (news: PeerNews) => void) => () => void;
-  /** Calls back with what this node tells its followers; returns what stops that. */
+  /**
+   * Subscribes to news for followers; returns the function that unsubscribes.
+   */
   readonly follow: (tell: (news: PeerNews) => void) => () => void;
 }
 
-/** Serves a stream until it ends; what is open then is cancelled. */
+/** Serves a stream until it ends; open exchanges are then cancelled. */
 export function serveExchangeStream(
   stream: grpc.ServerDuplexStream<Buffer, Buffer>,
   begin: BeginExchange,
-  newsExchange?: NewsExchange,
+  newsHandlers?: NewsExchange,
 ): void {
-  const server = new ExchangeStreamServer(stream, begin, newsExchange);
-  const over = (): void => {
+  const server = new ExchangeStreamServer(stream, begin, newsHandlers);
+  const onClose = (): void => {
     unsubscribe?.();
-    server.broke();
+    server.handleBreak();
   };
-  const unsubscribe = newsExchange?.subscribe((news) => server.tell(news));
-  if (newsExchange !== undefined) {
-    server.tell(newsExchange.first());
+  const unsubscribe = newsHandlers?.subscribe((news) => server.tell(news));
+  if (newsHandlers !== undefined) {
+    server.tell(newsHandlers.first());
   }
-  stream.on('data', (bytes: Buffer) => server.received(bytes));
-  stream.on('cancelled', over);
-  stream.on('error', over);
+  stream.on('data', (bytes: Buffer) => server.receiveBatch(bytes));
+  stream.on('cancelled', onClose);
+  stream.on('error', onClose);
   stream.on('end', () => {
-    over();
+    onClose();
     stream.end();
   });
 }
 
 class ExchangeStreamServer {
-  private readonly open = new Map<number, OpenExchange>();
+  private readonly openExchanges = new Map<number, OpenExchange>();
   private readonly batch: FrameBatch;
-  private unfollow: (() => void) | undefined;
+  private stopFollowing: (() => void) | undefined;
 
   constructor(
     stream: grpc.ServerDuplexStream<Buffer, Buffer>,
     private readonly begin: BeginExchange,
-    private readonly newsExchange: NewsExchange | undefined,
+    private readonly newsHandlers: NewsExchange | undefined,
   ) {
     this.batch = new FrameBatch((bytes) => stream.write(bytes));
   }
 
-  received(bytes: Buffer): void {
-    readBatch(bytes).forEach((frame) => this.take(frame));
+  receiveBatch(bytes: Buffer): void {
+    readBatch(bytes).forEach((frame) => this.receive(frame));
   }
 
   tell(news: PeerNews): void {
     this.batch.add(NO_EXCHANGE, {kind: 'news', news});
   }
 
-  broke(): void {
-    this.follows(false);
-    const left = [...this.open.values()];
-    this.open.clear();
-    left.forEach(({exchange}) => exchange?.cancel());
+  handleBreak(): void {
+    this.setFollowing(false);
+    const cancelled = [...this.openExchanges.values()];
+    this.openExchanges.clear();
+    cancelled.forEach(({exchange}) => exchange?.cancel());
   }
 
-  private take({number, frame}: NumberedFrame): void {
-    const known = this.open.get(number);
+  private receive({number, frame}: NumberedFrame): void {
+    const known = this.openExchanges.get(number);
     switch (frame.kind) {
       case 'call': {
         const opened: OpenExchange = {
           exchange: undefined,
           credit: ANSWER_CREDIT_BYTES,
         };
-        this.open.set(number, opened);
+        this.openExchanges.set(number, opened);
         const handlers = this.handlersFor(number, opened);
         opened.exchange = this.begin(frame.head, handlers);
         break;
@@ -97,10 +103,10 @@
         known?.exchange?.go(frame.request);
         break;
       case 'news':
-        this.newsHeard(frame.news);
+        this.receiveNews(frame.news);
         break;
       case 'cancel':
-        this.open.delete(number);
+        this.openExchanges.delete(number);
         known?.exchange?.cancel();
         break;
       case 'credit':
@@ -112,24 +118,24 @@
     }
   }
 
-  private newsHeard(news: PeerNews): void {
+  private receiveNews(news: PeerNews): void {
     if (news.kind === 'follow') {
-      this.follows(news.isWanted);
+      this.setFollowing(news.isWanted);
     } else {
-      this.newsExchange?.onNews(news, (answer) => this.tell(answer));
+      this.newsHandlers?.onNews(news, (answer) => this.tell(answer));
     }
   }
 
-  /** The other end wants to hear what this node reads, or no longer does. */
-  private follows(isWanted: boolean): void {
-    this.unfollow?.();
-    this.unfollow = isWanted
-      ? this.newsExchange?.follow((news) => this.tell(news))
+  /** Starts or stops sending news for followers to the other end. */
+  private setFollowing(isWanted: boolean): void {
+    this.stopFollowing?.();
+    this.stopFollowing = isWanted
+      ? this.newsHandlers?.follow((news) => this.tell(news))
       : undefined;
   }
 
   private handlersFor(number: number, opened: OpenExchange): ExchangeHandlers {
-    const close = (): void => void this.open.delete(number);
+    const close = (): void => void this.openExchanges.delete(number);
     return {
       onContinue: () => this.batch.add(number, {kind: 'continue'}),
       onQueued: () => this.batch.add(number, {kind: 'queued'}),
--- a/packages/node/src/request/followedStreams.ts
+++ b/packages/node/src/request/followedStreams.ts
@@ -1,50 +1,53 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Streams to the nodes that this one follows; kept open while they are. */
+/** Keeps streams open to the nodes that this node follows. */
 
 import type {FollowedPeers} from '@lockpin/fleet';
 import type {ExchangeStream} from './exchangeStream.js';
 
-/** Opens a stream to each followed node, and again when it has broken. */
+/** Opens a stream to each followed node, and reopens broken ones. */
 export class FollowedStreams {
   private readonly near = new Map<string, ExchangeStream>();
   private far: {readonly address: string; stream: ExchangeStream} | undefined;
 
   constructor(
-    private readonly stream: (address: string) => ExchangeStream,
-    /** The connection to an address may be dead without an end. */
-    private readonly leaveConnection: (address: string) => void,
+    private readonly openStream: (address: string) => ExchangeStream,
+    /** Replaces a connection that may be dead without having been closed. */
+    private readonly dropConnection: (address: string) => void,
   ) {}
 
-  /** Takes up the new ones and lets go of the others. */
+  /** Follows the given nodes and unfollows all others. */
   follow({near, far, silent}: FollowedPeers): void {
     for (const [address, stream] of this.near) {
       if (!near.includes(address)) {
         this.near.delete(address);
-        this.letGo(address, stream, silent.includes(address));
+        this.unfollow(address, stream, silent.includes(address));
       }
     }
     for (const address of near) {
-      this.near.set(address, this.openNear(address, this.near.get(address)));
+      this.near.set(
+        address,
+        this.openFollowed(address, this.near.get(address)),
+      );
     }
     this.followFar(far);
   }
 
-  /** Opens again what has broken. */
+  /** Reopens broken streams. */
   reopen(): void {
     for (const [address, stream] of this.near) {
-      this.near.set(address, this.openNear(address, stream));
+      this.near.set(address, this.openFollowed(address, stream));
     }
     if (this.far !== undefined && !this.far.stream.isUsable) {
       this.far.stream = this.openKept(this.far.address);
     }
   }
 
-  private openNear(
+  private openFollowed(
     address: string,
-    before: ExchangeStream | undefined,
+    existing: ExchangeStream | undefined,
   ): ExchangeStream {
-    if (before?.isUsable) {
-      return before;
+    if (existing?.isUsable) {
+      return existing;
     }
     const stream = this.openKept(address);
     stream.tell({kind: 'follow', isWanted: true});
@@ -52,7 +55,7 @@
   }
 
   private openKept(address: string): ExchangeStream {
-    const stream = this.stream(address);
+    const stream = this.openStream(address);
     stream.keep(true);
     return stream;
   }
@@ -68,14 +71,14 @@
         : {address, stream: this.openKept(address)};
   }
 
-  private letGo(
+  private unfollow(
     address: string,
     stream: ExchangeStream,
     isSilent: boolean,
   ): void {
     stream.keep(false);
     if (isSilent) {
-      this.leaveConnection(address);
+      this.dropConnection(address);
     } else if (stream.isUsable) {
       stream.tell({kind: 'follow', isWanted: false});
     }
--- a/packages/node/src/request/frameBatch.ts
+++ b/packages/node/src/request/frameBatch.ts
@@ -1,13 +1,13 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Frames of many exchanges, sent together once a turn of the event loop. */
+/** Batches the frames of many exchanges, once per event-loop turn. */
 
 import {readFrame, writeFrame} from './frames.js';
 import type {Frame} from './frames.js';
 
-/** Told of each frame's bytes on the way, in either direction. */
+/** Called with the size of each frame that is sent or received. */
 export type OnFrameBytes = (kind: Frame['kind'], bytes: number) => void;
 
-/** A frame with the number of its exchange on the stream. */
+/** A frame with the number of its exchange. */
 export interface NumberedFrame {
   readonly number: number;
   readonly frame: Frame;
@@ -43,19 +43,19 @@
   }
 }
 
-/** Takes a message apart again. */
+/** Splits a message into its frames. */
 export function readBatch(
   bytes: Buffer,
   onFrameBytes: OnFrameBytes = () => undefined,
 ): readonly NumberedFrame[] {
   const frames: NumberedFrame[] = [];
-  let at = 0;
-  while (at + PREFIX_BYTES <= bytes.length) {
-    const length = bytes.readUInt32BE(at);
-    const number = bytes.readUInt32BE(at + 4);
-    const start = at + PREFIX_BYTES;
-    at = start + length;
-    const frame = readFrame(bytes.subarray(start, at));
+  let offset = 0;
+  while (offset + PREFIX_BYTES <= bytes.length) {
+    const length = bytes.readUInt32BE(offset);
+    const number = bytes.readUInt32BE(offset + 4);
+    const start = offset + PREFIX_BYTES;
+    offset = start + length;
+    const frame = readFrame(bytes.subarray(start, offset));
     onFrameBytes(frame.kind, PREFIX_BYTES + length);
     frames.push({number, frame});
   }
--- a/packages/node/src/request/frameRows.ts
+++ b/packages/node/src/request/frameRows.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Frames of calls as rows of values, in the order in which they go between nodes. */
+/** Positional encoding of the frames of calls, as rows of values. */
 
 import type {
   AnswerHead,
@@ -19,9 +19,9 @@
 import type {HintRow} from './wireCodes.js';
 
 /**
- * Frames that every call needs go as rows of values in these orders: the names
- * of the fields would be a third of their bytes, and bytes between data centres
- * are paid for.
+ * The field order of a call's head. The frames of calls are encoded as rows
+ * without field names, because the names would be a third of their bytes and
+ * traffic between data centres is billed.
  */
 const CALL_FIELDS = [
   'requestId',
@@ -50,7 +50,7 @@
   'expectedMilliseconds',
 ] as const satisfies readonly (keyof CallHead)[];
 
-/** The order of an answer's fields. */
+/** The field order of an answer's head. */
 const ANSWER_FIELDS = [
   'status',
   'headers',
@@ -62,8 +62,8 @@
   'hasMore',
 ] as const satisfies readonly (keyof AnswerHead)[];
 
-/** The order of a request's fields. */
-const GO_FIELDS = [
+/** The field order of a request. */
+const REQUEST_FIELDS = [
   'method',
   'path',
   'headers',
@@ -71,7 +71,7 @@
   'requestDigest',
 ] as const satisfies readonly (keyof CallRequest)[];
 
-/** A call's head with numbers in place of words. */
+/** A call's head with its enum values as codes. */
 type CodedHead = Omit<CallHead, 'repetition' | 'terms'> & {
   readonly repetition: number;
   readonly terms: number;
@@ -90,7 +90,7 @@
   hint: HintRow | null,
 ];
 
-/** The row of a refusal. */
+/** Encodes a refusal as a row. */
 export function refusalRow({
   refusal,
   upstream,
@@ -106,7 +106,7 @@
   ];
 }
 
-/** The refusal of a row. */
+/** Decodes a refusal from its row. */
 export function refusalFrom(row: RefusalRow): RefusalFrame {
   const [reason, outcome, retryAfterMilliseconds, upstream, hint] = row;
   return {
@@ -120,7 +120,7 @@
   };
 }
 
-/** The row of a call's head. */
+/** Encodes a call's head as a row. */
 export function headRow(head: CallHead): readonly unknown[] {
   const coded: CodedHead = {
     ...head,
@@ -130,7 +130,7 @@
   return toRow(CALL_FIELDS, coded);
 }
 
-/** The call's head of a row. */
+/** Decodes a call's head from its row. */
 export function headFrom(row: readonly unknown[]): CallHead {
   const coded = fromRow<CodedHead>(CALL_FIELDS, row);
   return {
@@ -140,26 +140,26 @@
   };
 }
 
-/** The row of an answer's head. */
+/** Encodes an answer's head as a row. */
 export function answerRow(head: AnswerHead): readonly unknown[] {
   const hint = head.hint && hintRow(head.hint);
   return toRow<CodedAnswer>(ANSWER_FIELDS, {...head, hint});
 }
 
-/** The answer's head of a row. */
+/** Decodes an answer's head from its row. */
 export function answerFrom(row: readonly unknown[]): AnswerHead {
   const coded = fromRow<CodedAnswer>(ANSWER_FIELDS, row);
   return {...coded, hint: coded.hint && hintOf(coded.hint)};
 }
 
-/** The row of a request. */
+/** Encodes a request as a row. */
 export function requestRow(request: CallRequest): readonly unknown[] {
-  return toRow(GO_FIELDS, request);
+  return toRow(REQUEST_FIELDS, request);
 }
 
-/** The request of a row. */
+/** Decodes a request from its row. */
 export function requestFrom(row: readonly unknown[]): CallRequest {
-  const request = fromRow<CallRequest>(GO_FIELDS, row);
-  // A node of an earlier release tells none.
+  const request = fromRow<CallRequest>(REQUEST_FIELDS, row);
+  // Nodes of earlier releases do not send a digest.
   return {...request, requestDigest: request.requestDigest ?? ''};
 }
--- a/packages/node/src/request/frameTypes.ts
+++ b/packages/node/src/request/frameTypes.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** What goes between an entry and a guard: the parts of one exchange, and news. */
+/** Frames between an entry and a guard: the parts of an exchange, and news. */
 
 import type {OfferTerms} from '@lockpin/brain';
 import type {FleetNews} from '@lockpin/fleet';
@@ -7,12 +7,12 @@
 import type {LoadHint} from '@lockpin/routing';
 import type {Refusal, Repetition} from '@lockpin/types';
 
-/** Names and values in turn, as they came. */
+/** Header names and values in turn, as received. */
 export type FlatHeaders = readonly string[];
 
-/** The first frame from an entry. */
+/** The head of a call: the first frame of an exchange. */
 export interface CallHead {
-  /** Names the caller's request in the logs of every box. */
+  /** Identifies the caller's request in the logs of all boxes. */
   readonly requestId: string;
   readonly service: string;
   readonly upstream: string | undefined;
@@ -25,10 +25,10 @@
   readonly remaining: number;
   readonly attempt: number;
   readonly retryShare: number;
-  /** A first attempt of a call that its caller may be making a second time. */
+  /** A first attempt of a call that may itself be its caller's retry. */
   readonly mayBeRepeat: boolean;
   readonly onceKey: string | undefined;
-  /** See digestOf; empty in an offer, but for that of a once-only call. */
+  /** See computeRequestDigest; empty in offers, except of once-only calls. */
   readonly requestDigest: string;
   readonly method: string;
   readonly path: string;
@@ -36,12 +36,12 @@
   /** The whole body, unless hasMore says that it follows in frames. */
   readonly body: Uint8Array | undefined;
   readonly hasMore: boolean;
-  /** The guard keeps a slot and waits for a go before it sends the call on. */
+  /** The guard reserves a slot and waits for the go signal to run the call. */
   readonly needsGo: boolean;
   readonly terms: OfferTerms;
-  /** Milliseconds until an answer is worth less; undefined when it never is. */
+  /** Milliseconds until the latency goal; undefined without one. */
   readonly usefulFor: number | undefined;
-  /** Milliseconds in which it must get a slot or come back; undefined for any. */
+  /** Milliseconds in which a slot must be reserved; undefined for no limit. */
   readonly startWithin: number | undefined;
   readonly expectedMilliseconds: number | undefined;
 }
@@ -52,7 +52,7 @@
   readonly path: string;
   readonly headers: FlatHeaders;
   readonly body: Uint8Array | undefined;
-  /** See digestOf. */
+  /** See computeRequestDigest. */
   readonly requestDigest: string;
 }
 
@@ -63,11 +63,11 @@
   readonly upstream: string;
   readonly hint: LoadHint | undefined;
   /**
-   * Only the end of the connection said that the answer was over. The caller
-   * gets it in the same form, since no one here can tell whether it is whole.
+   * The answer was delimited only by the end of its connection. The caller gets
+   * it in the same form, since a truncated answer cannot be detected here.
    */
   readonly isUnframed: boolean;
-  /** How long the upstream took until its answer was at hand. */
+  /** How long the upstream took to answer. */
   readonly ranMilliseconds: number | undefined;
   /** The whole body, unless hasMore says that it follows in frames. */
   readonly body: Uint8Array | undefined;
@@ -81,13 +81,13 @@
   readonly hint: LoadHint | undefined;
 }
 
-/** What nodes tell each other unasked. */
+/** Unsolicited messages between nodes. */
 export type PeerNews =
   /** The version of the configuration in force at the sender. */
   | {
       readonly kind: 'version';
       readonly version: number;
-      /** Where the sender can be asked for it. */
+      /** Where the sender serves it. */
       readonly address: string;
     }
   /** The standing of an upstream changed at its guard. */
@@ -96,31 +96,33 @@
       readonly upstream: string;
       readonly hint: LoadHint;
     }
-  /** The sender wants to hear what the other end reads, or no longer does. */
+  /** The sender starts or stops following the other end. */
   | {readonly kind: 'follow'; readonly isWanted: boolean}
-  /** For those that follow the sender. */
+  /** News for the followers of the sender. */
   | FleetNews
-  /** An entry lends or draws, and a pool answers it on the same stream. */
+  /**
+   * A loan or draw of limit tokens, and the pool's reply on the same stream.
+   */
   | LimitMessage;
 
-/** One frame, read. */
+/** A decoded frame. */
 export type Frame =
   | {readonly kind: 'call'; readonly head: CallHead}
   | {readonly kind: 'answer'; readonly head: AnswerHead}
   | {readonly kind: 'chunk'; readonly bytes: Buffer}
   | {readonly kind: 'end'}
   | {readonly kind: 'refusal'; readonly refusal: RefusalFrame}
-  /** The guard has a slot: the go, or the rest of the body, may follow. */
+  /** A slot is reserved: the go signal or the rest of the body may follow. */
   | {readonly kind: 'continue'}
-  /** The call waits for a slot. */
+  /** The call is queued for a slot. */
   | {readonly kind: 'queued'}
-  /** The entry takes the slot: the call may run, and this is its request. */
+  /** The go signal: the call may run in its slot, with this request. */
   | {readonly kind: 'go'; readonly request: CallRequest}
   /** Belongs to no call. */
   | {readonly kind: 'news'; readonly news: PeerNews}
-  /** The entry has no more use for the exchange. */
+  /** The entry cancels the exchange. */
   | {readonly kind: 'cancel'}
-  /** The upstream broke off its answer. */
+  /** The answer was interrupted. */
   | {readonly kind: 'lost'}
-  /** The caller has taken so many bytes of the answer. */
+  /** Flow control: the caller has taken this many bytes of the answer. */
   | {readonly kind: 'credit'; readonly bytes: number};
--- a/packages/node/src/request/frames.ts
+++ b/packages/node/src/request/frames.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Frames of one exchange between an entry and a guard. */
+/** Binary encoding of the frames between an entry and a guard. */
 
 import {decode, encode} from '../connection/codec.js';
 import {
@@ -17,7 +17,7 @@
 
 export type * from './frameTypes.js';
 
-/** The first byte of a frame is the place of its kind in this list. */
+/** The first byte of a frame is the index of its kind in this list. */
 const KINDS = [
   'call',
   'answer',
@@ -33,10 +33,10 @@
   'news',
 ] as const;
 
-/** Bytes of an unsigned number of 32 bits. */
-const CREDIT_LENGTH = 4;
+/** Bytes of an unsigned 32-bit integer. */
+const CREDIT_BYTES = 4;
 
-/** Writes a frame. */
+/** Encodes a frame. */
 export function writeFrame(frame: Frame): Buffer {
   const kind = Buffer.from([KINDS.indexOf(frame.kind)]);
   switch (frame.kind) {
@@ -51,7 +51,7 @@
     case 'chunk':
       return Buffer.concat([kind, frame.bytes]);
     case 'credit': {
-      const credit = Buffer.alloc(CREDIT_LENGTH);
+      const credit = Buffer.alloc(CREDIT_BYTES);
       credit.writeUInt32BE(frame.bytes);
       return Buffer.concat([kind, credit]);
     }
@@ -62,7 +62,7 @@
   }
 }
 
-/** Reads a frame. */
+/** Decodes a frame. */
 export function readFrame(bytes: Buffer): Frame {
   const kind = KINDS[bytes[0] ?? 0] ?? 'end';
   const rest = bytes.subarray(1);
--- a/packages/node/src/request/freshOnceKeys.ts
+++ b/packages/node/src/request/freshOnceKeys.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Once keys that an entry mints for its callers. */
+/** Mints once keys for callers. */
 
 import type {ServiceView} from '@lockpin/configuration';
 import {mintOnceKey} from '@lockpin/once';
@@ -7,14 +7,14 @@
 import type {CallerRequest} from './callerRequest.js';
 import type {EntryServiceDependencies} from './entryServiceDependencies.js';
 
-type KeyMeans = Pick<
+type KeyDependencies = Pick<
   EntryServiceDependencies,
   'brain' | 'clock' | 'random' | 'incarnation'
 >;
 
-/** A key bound to the home of an upstream that takes calls now. */
+/** Mints a key bound to the home of an upstream that accepts calls now. */
 export function mintKeyFor(
-  {brain, clock, random, incarnation}: KeyMeans,
+  {brain, clock, random, incarnation}: KeyDependencies,
   view: ServiceView,
 ): string | undefined {
   const now = clock();
@@ -25,15 +25,15 @@
     : undefined;
 }
 
-/** A once-only call that has not run may be sent again under a new key. */
+/** A new key for a once-only call that has not run and may be retried. */
 export function freshKeyHeader(
-  means: KeyMeans,
+  dependencies: KeyDependencies,
   {onceKey, view}: CallerRequest,
   {outcome}: Refusal,
 ): Readonly<Record<string, string>> {
   if (onceKey === undefined || outcome !== 'not-run') {
     return {};
   }
-  const key = mintKeyFor(means, view);
+  const key = mintKeyFor(dependencies, view);
   return key === undefined ? {} : {'lockpin-fresh-once-key': key};
 }
--- a/packages/node/src/request/guardExchange.ts
+++ b/packages/node/src/request/guardExchange.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** What a guard keeps of one call from its offer to its end. */
+/** The state of one call at its guard, from its offer to its end. */
 
 import type {Readable} from 'node:stream';
 import type {GuardCall} from '@lockpin/brain';
@@ -8,16 +8,16 @@
 import type {CallHead} from './frames.js';
 import type {UpstreamAnswer} from './upstreamAnswer.js';
 
-/** Changes as the call goes on. */
+/** The mutable state of a call at its guard. */
 export interface GuardExchange {
-  /** Given here: what entries call their calls need not differ. */
+  /** Assigned by the guard: the ids of different entries may collide. */
   readonly id: string;
-  /** Its request comes with the go where there is one. */
+  /** Completed by the request in the go signal, when there is one. */
   head: CallHead;
   handlers: ExchangeHandlers;
   timer: NodeJS.Timeout | undefined;
   readonly offeredAt: number;
-  /** The guard gives it up then. */
+  /** When the guard gives up the call. */
   readonly giveUpAt: number;
   readonly deadline: number;
   upstream: string;
@@ -28,7 +28,7 @@
   answer: UpstreamAnswer | undefined;
 }
 
-/** In place of the handlers of an entry that has cancelled its call. */
+/** Replaces the handlers of an entry that has cancelled its call. */
 export const NO_HANDLERS: ExchangeHandlers = {
   onContinue: () => undefined,
   onQueued: () => undefined,
@@ -39,7 +39,7 @@
   onLost: () => undefined,
 };
 
-/** The call as the guard's brain is told of it. */
+/** Builds the call as the guard's decision logic receives it. */
 export function guardCall(
   id: string,
   head: CallHead,
--- a/packages/node/src/request/guardRecord.ts
+++ b/packages/node/src/request/guardRecord.ts
@@ -1,10 +1,10 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** What became of one call at the guard of its upstream. */
+/** The log record of a call at its guard. */
 
 import type {DoubtReason} from '@lockpin/brain';
 import type {CallHead} from './frames.js';
 
-/** What became of one call at the guard of its upstream. */
+/** The log record of a call at the guard of its upstream. */
 export interface GuardRecord {
   readonly head: CallHead;
   readonly upstream: string;
@@ -13,10 +13,10 @@
   readonly reason: string;
   /** Set only for calls that were refused as 'upstream-doubted'. */
   readonly doubtReason: DoubtReason | undefined;
-  /** The upstream's status; 0 when there is none. */
+  /** The HTTP status of the upstream; 0 when there is none. */
   readonly status: number;
-  /** From the offer to the call's way to the upstream, or its end. */
+  /** From the offer until the call was sent to the upstream, or ended. */
   readonly waitedMilliseconds: number;
-  /** From there to the answer; 0 when the call was never sent. */
+  /** From sending the call to its end; 0 when it was never sent. */
   readonly ranMilliseconds: number;
 }
--- a/packages/node/src/request/guardService.ts
+++ b/packages/node/src/request/guardService.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** The guard's side of an exchange: from an offered call to its upstream. */
+/** The guard's side of an exchange, from the offer to the upstream's answer. */
 
 import type {
   DoubtReason,
@@ -18,40 +18,41 @@
 import {UpstreamDispatch} from './upstreamDispatch.js';
 import type {UpstreamProtocol} from './upstreamProtocol.js';
 
-/** The guard gives up this much earlier than the entry, so as to be heard. */
+/** The guard gives up this much before the entry, so that its reply arrives. */
 const HOP_ALLOWANCE_MILLISECONDS = 5;
 
 /**
- * Milliseconds between ticks while calls are under way. What a tick finds can wait for
- * that long: reservations end after 250 ms, hanging shows after several hundred. Each
- * tick wakes the process, and at a few calls a second there is always one under way.
+ * Milliseconds between ticks while calls are active. That is frequent enough,
+ * as reservations expire after 250 ms and hanging is detected after several
+ * hundred. Each tick wakes the process, and at a few calls per second one is
+ * always active.
  */
 const BUSY_TICK_MILLISECONDS = 50;
 
-/** Calls with less time than this get no allowance. */
+/** Calls with this much time or less get no allowance. */
 const SHORT_CALL_MILLISECONDS = 50;
 
-/** What the guard's service needs of its process. */
+/** What the guard service needs from its process. */
 export interface GuardServiceDependencies {
   readonly clock: Clock;
   readonly random: RandomSource;
   readonly brain: GuardBrain;
   readonly pools: UpstreamPools;
   readonly protocol?: UpstreamProtocol;
-  /** Told of every call that ended here. */
+  /** Called at the end of every call. */
   readonly onEnded?: (record: GuardRecord) => void;
-  /** Calls back again and again; returns what stops it. */
+  /** Calls back periodically; returns the function that stops it. */
   readonly every: (milliseconds: number, run: () => void) => () => void;
-  /** Takes the actions that do not concern one exchange. */
+  /** Performs the actions that do not concern one exchange. */
   readonly onOther: (action: GuardNews) => void;
 }
 
-/** Actions of a guard that are for others than the callers it serves. */
+/** Guard actions that are not addressed to the caller of an exchange. */
 export type GuardNews = GuardAction & {
   readonly kind: 'report' | 'timeline' | 'standing' | 'upstream-crashed';
 };
 
-/** Offers calls to the guard's brain and does what it decides. */
+/** Passes calls to the guard's decision logic and performs its actions. */
 export class GuardService {
   private readonly exchanges = new Map<string, GuardExchange>();
   private readonly dispatch: UpstreamDispatch;
@@ -67,12 +68,12 @@
     });
   }
 
-  /** Calls accepted and not yet ended. */
+  /** Calls that have not ended. */
   get callCount(): number {
     return this.exchanges.size;
   }
 
-  /** Tells the brain of an event and does what it decides. */
+  /** Passes an event to the decision logic and performs its actions. */
   handle(event: GuardEvent): void {
     const {brain, clock, random} = this.dependencies;
     for (const action of brain.handle(clock(), random, event)) {
@@ -80,27 +81,32 @@
     }
   }
 
-  /** Begins an exchange; every call ends in an answer, a refusal or a loss. */
+  /** Starts an exchange; each ends in an answer, a refusal or a loss. */
   begin(head: CallHead, handlers: ExchangeHandlers): Exchange {
-    const patience = patienceOf(head);
+    const timeoutMilliseconds = guardTimeout(head);
     const now = this.dependencies.clock();
-    const exchange = this.exchange(head, handlers, now, patience);
+    const exchange = this.createExchange(
+      head,
+      handlers,
+      now,
+      timeoutMilliseconds,
+    );
     this.exchanges.set(exchange.id, exchange);
     this.stopTicking ??= this.dependencies.every(BUSY_TICK_MILLISECONDS, () =>
       this.busyTick(),
     );
     this.handle({
       kind: 'call-offered',
-      call: guardCall(exchange.id, head, now, now + patience),
+      call: guardCall(exchange.id, head, now, now + timeoutMilliseconds),
     });
     return this.controls(exchange);
   }
 
-  private exchange(
+  private createExchange(
     head: CallHead,
     handlers: ExchangeHandlers,
     now: number,
-    patience: number,
+    timeoutMilliseconds: number,
   ): GuardExchange {
     this.serial += 1;
     const exchange: GuardExchange = {
@@ -109,7 +115,7 @@
       handlers,
       timer: undefined,
       offeredAt: now,
-      giveUpAt: now + patience,
+      giveUpAt: now + timeoutMilliseconds,
       deadline: now + head.remaining,
       upstream: head.upstream ?? '',
       sentAt: undefined,
@@ -118,20 +124,23 @@
       isAborted: false,
       answer: undefined,
     };
-    this.watchDeadline(exchange, now);
+    this.startDeadlineTimer(exchange, now);
     return exchange;
   }
 
-  /** Timers stood still while the clock went on: what is overdue ends now. */
+  /**
+   * Restarts all deadline timers after a suspension of the machine, during
+   * which the clock advances and timers do not; overdue calls end at once.
+   */
   reviewDeadlines(): void {
     const now = this.dependencies.clock();
     this.exchanges.forEach((exchange) => {
       clearTimeout(exchange.timer);
-      this.watchDeadline(exchange, now);
+      this.startDeadlineTimer(exchange, now);
     });
   }
 
-  private watchDeadline(exchange: GuardExchange, now: number): void {
+  private startDeadlineTimer(exchange: GuardExchange, now: number): void {
     const callId = exchange.id;
     exchange.timer = setTimeout(
       () => this.handle({kind: 'call-deadline-passed', callId}),
@@ -139,7 +148,7 @@
     );
   }
 
-  /** Deadlines and slowness are looked at often while calls are under way. */
+  /** Lets the decision logic check deadlines and slow calls. */
   private busyTick(): void {
     if (this.exchanges.size === 0) {
       this.stopTicking?.();
@@ -168,7 +177,7 @@
 
   private perform(action: GuardAction): void {
     if (action.kind === 'look-at-upstream') {
-      this.lookAt(action);
+      this.inspectUpstream(action);
       return;
     }
     if (!('callId' in action)) {
@@ -201,7 +210,7 @@
     }
   }
 
-  private lookAt({
+  private inspectUpstream({
     upstream,
     incarnation,
   }: GuardAction & {readonly kind: 'look-at-upstream'}): void {
@@ -219,12 +228,12 @@
     exchange: GuardExchange,
     action: GuardAction & {readonly kind: 'refuse'},
   ): void {
-    this.forget(exchange);
+    this.remove(exchange);
     const {reason, outcome} = action.refusal;
     const {doubtReason} = action;
     const wasCancelled = exchange.handlers === NO_HANDLERS;
     exchange.upstream = action.upstream;
-    this.record(
+    this.recordEnd(
       exchange,
       wasCancelled ? 'cancelled' : outcome,
       reason,
@@ -240,8 +249,8 @@
   }
 
   private answerStored(exchange: GuardExchange, answer: StoredAnswer): void {
-    this.forget(exchange);
-    this.record(exchange, 'answered', 'stored', answer.status);
+    this.remove(exchange);
+    this.recordEnd(exchange, 'answered', 'stored', answer.status);
     exchange.handlers.onAnswer({
       status: answer.status,
       headers: [
@@ -259,11 +268,11 @@
   }
 
   private answered(exchange: GuardExchange, status: number): void {
-    this.forget(exchange);
-    this.record(exchange, 'answered', '', status);
+    this.remove(exchange);
+    this.recordEnd(exchange, 'answered', '', status);
   }
 
-  private record(
+  private recordEnd(
     exchange: GuardExchange,
     outcome: GuardRecord['outcome'],
     reason: string,
@@ -284,14 +293,14 @@
     });
   }
 
-  private forget(exchange: GuardExchange): void {
+  private remove(exchange: GuardExchange): void {
     clearTimeout(exchange.timer);
     this.exchanges.delete(exchange.id);
   }
 }
 
-/** How long the guard keeps a call that has not ended, in milliseconds. */
-function patienceOf({remaining}: CallHead): number {
+/** How long the guard keeps an unfinished call, in milliseconds. */
+function guardTimeout({remaining}: CallHead): number {
   const allowance =
     remaining > SHORT_CALL_MILLISECONDS ? HOP_ALLOWANCE_MILLISECONDS : 0;
   return Math.max(0, remaining - allowance);
--- a/packages/node/src/request/guardStreams.ts
+++ b/packages/node/src/request/guardStreams.ts
@@ -1,21 +1,21 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Exchanges that come from other nodes on gRPC calls of their own. */
+/** Serves exchanges that use a gRPC call of their own. */
 
 import type grpc from '@grpc/grpc-js';
 import type {BeginExchange, Exchange, ExchangeHandlers} from './exchange.js';
 import {readFrame, writeFrame} from './frames.js';
 
-/** Serves one stream: its first frame is the call. */
+/** Serves one exchange; the first frame of its stream is the call. */
 export function serveGuardStream(
   stream: grpc.ServerDuplexStream<Buffer, Buffer>,
   begin: BeginExchange,
 ): void {
   let exchange: Exchange | undefined;
   let isOver = false;
-  const over = (): void => {
+  const markOver = (): void => {
     isOver = true;
   };
-  const handlers = streamHandlers(stream, over);
+  const handlers = streamHandlers(stream, markOver);
   stream.on('data', (bytes: Buffer) => {
     const frame = readFrame(bytes);
     if (frame.kind === 'call') {
@@ -39,10 +39,10 @@
 
 function streamHandlers(
   stream: grpc.ServerDuplexStream<Buffer, Buffer>,
-  over: () => void,
+  markOver: () => void,
 ): ExchangeHandlers {
   const endWith = (bytes: Buffer): void => {
-    over();
+    markOver();
     stream.write(bytes);
     stream.end();
   };
@@ -64,8 +64,8 @@
     onEnd: () => endWith(writeFrame({kind: 'end'})),
     onRefusal: (refusal) => endWith(writeFrame({kind: 'refusal', refusal})),
     onLost: () => {
-      over();
-      stream.destroy(new Error('the upstream broke off its answer'));
+      markOver();
+      stream.destroy(new Error('upstream answer interrupted before its end'));
     },
   };
 }
--- a/packages/node/src/request/headers.ts
+++ b/packages/node/src/request/headers.ts
@@ -1,10 +1,10 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Which headers pass through. */
+/** Filters the headers that pass through a node. */
 
 import type {FlatHeaders} from './frames.js';
 
-/** Headers that concern one connection, or that lockpin sets itself. */
-const NOT_PASSED: ReadonlySet<string> = new Set([
+/** Call headers that are hop-by-hop, or that lockpin sets itself. */
+const DROPPED_CALL_HEADERS: ReadonlySet<string> = new Set([
   'connection',
   'keep-alive',
   'proxy-authenticate',
@@ -22,7 +22,8 @@
   'lockpin-retry',
 ]);
 
-const ANSWER_NOT_PASSED: ReadonlySet<string> = new Set([
+/** Answer headers that are hop-by-hop. */
+const DROPPED_ANSWER_HEADERS: ReadonlySet<string> = new Set([
   'connection',
   'keep-alive',
   'proxy-authenticate',
@@ -31,18 +32,18 @@
   'upgrade',
 ]);
 
-/** The headers of a call that the upstream gets. */
+/** The headers of a call that are passed to the upstream. */
 export function callHeaders(raw: readonly string[]): string[] {
-  return without(raw, withNamed(raw, NOT_PASSED));
+  return without(raw, withConnectionHeaders(raw, DROPPED_CALL_HEADERS));
 }
 
-/** The headers of an answer that the caller gets. */
+/** The headers of an answer that are passed to the caller. */
 export function answerHeaders(raw: readonly string[]): string[] {
-  return without(raw, withNamed(raw, ANSWER_NOT_PASSED));
+  return without(raw, withConnectionHeaders(raw, DROPPED_ANSWER_HEADERS));
 }
 
-/** Adds the headers that the sender itself names as those of its connection. */
-function withNamed(
+/** Adds the headers that the sender's Connection header lists as hop-by-hop. */
+function withConnectionHeaders(
   raw: FlatHeaders,
   dropped: ReadonlySet<string>,
 ): ReadonlySet<string> {
@@ -69,7 +70,7 @@
   return kept;
 }
 
-/** A flat list as a record; the last of equal names wins. */
+/** Converts a flat list to a record; the last of equal names wins. */
 export function headerRecord(headers: FlatHeaders): Record<string, string> {
   const record: Record<string, string> = {};
   for (let i = 0; i + 1 < headers.length; i += 2) {
--- a/packages/node/src/request/limitRows.ts
+++ b/packages/node/src/request/limitRows.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Messages about limits as rows of values, see frameRows. */
+/** Positional encoding of limit messages; see frameEncoding. */
 
 import type {
   Draw,
@@ -39,14 +39,14 @@
 
 type Row = readonly unknown[];
 
-/** A request without its kind. */
+/** The row of a limit request, without its kind. */
 export type LimitRequestRow = readonly [
   box: string,
   loan: Row | null,
   draws: readonly Row[],
 ];
 
-/** A reply without its kind. */
+/** The row of a limit reply, without its kind. */
 export type LimitReplyRow = readonly [
   box: string,
   moment: Row,
@@ -55,34 +55,34 @@
   grants: readonly Row[],
 ];
 
-/** The row of a request. */
+/** Encodes a limit request as a row. */
 export function limitRequestRow({
   box,
   loan,
   draws,
 }: LimitRequest): LimitRequestRow {
-  const lent =
+  const loanRow =
     loan === undefined
       ? null
       : toRow(LOAN_FIELDS, {...loan, since: toRow(MOMENT_FIELDS, loan.since)});
-  return [box, lent, draws.map((draw) => toRow(DRAW_FIELDS, draw))];
+  return [box, loanRow, draws.map((draw) => toRow(DRAW_FIELDS, draw))];
 }
 
-/** The request of a row. */
+/** Decodes a limit request from its row. */
 export function limitRequestFrom([
   box,
-  lent,
+  loanRow,
   draws,
 ]: LimitRequestRow): LimitRequest {
   return {
     kind: 'limit-request',
     box,
-    loan: lent === null ? undefined : loanFrom(lent),
+    loan: loanRow === null ? undefined : decodeLoan(loanRow),
     draws: draws.map((row) => fromRow<Draw>(DRAW_FIELDS, row)),
   };
 }
 
-function loanFrom(row: Row): Loan {
+function decodeLoan(row: Row): Loan {
   const coded = fromRow<Omit<Loan, 'since'> & {readonly since: Row}>(
     LOAN_FIELDS,
     row,
@@ -90,7 +90,7 @@
   return {...coded, since: fromRow<PoolMoment>(MOMENT_FIELDS, coded.since)};
 }
 
-/** The row of a reply. */
+/** Encodes a limit reply as a row. */
 export function limitReplyRow({
   box,
   moment,
@@ -107,7 +107,7 @@
   ];
 }
 
-/** The reply of a row. */
+/** Decodes a limit reply from its row. */
 export function limitReplyFrom([
   box,
   moment,
--- a/packages/node/src/request/newsRows.ts
+++ b/packages/node/src/request/newsRows.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** News between nodes as rows of values; see frameRows. */
+/** Positional encoding of news between nodes; see frameEncoding. */
 
 import type {BoxRecord, ReaderReport} from '@lockpin/fleet';
 import type {QuarantineLift, RunReport} from '@lockpin/quarantine';
@@ -16,7 +16,7 @@
 import {hintOf, hintRow} from './wireCodes.js';
 import type {HintRow} from './wireCodes.js';
 
-/** The order of a box's statement. */
+/** The field order of a box record. */
 const BOX_FIELDS = [
   'box',
   'dataCentre',
@@ -31,7 +31,7 @@
   'program',
 ] as const satisfies readonly (keyof BoxRecord)[];
 
-/** The order of what a box tells of a run. */
+/** The field order of a run report. */
 const RUN_FIELDS = [
   'digest',
   'at',
@@ -39,7 +39,7 @@
   'program',
 ] as const satisfies readonly (keyof RunReport)[];
 
-/** The order of a lifted quarantine. */
+/** The field order of a lifted quarantine. */
 const LIFT_FIELDS = [
   'digest',
   'at',
@@ -47,13 +47,13 @@
 
 type Rows = readonly (readonly unknown[])[];
 
-/** A box's statement with its runs and lifts as rows. */
+/** A box record with its runs and lifts as rows. */
 type CodedBox = Omit<BoxRecord, 'runs' | 'lifts'> & {
   readonly runs: Rows | undefined;
   readonly lifts: Rows | undefined;
 };
 
-/** The order of a reader's report. */
+/** The field order of a reader report. */
 const REPORT_FIELDS = [
   'version',
   'boxesDigest',
@@ -67,8 +67,9 @@
 type VersionRow = readonly [version: number, address: string];
 
 /**
- * The first value of news that is neither a standing nor a version. No version is
- * below 0, so that a node of an earlier release passes over it.
+ * Kind codes: the first value of news other than standings and versions. They
+ * are negative, and versions are not, so that nodes of earlier releases, which
+ * read them as versions, ignore them.
  */
 const FOLLOW = -1;
 const REPORT = -2;
@@ -99,7 +100,7 @@
 
 type StoreRestoredRow = readonly [kind: typeof STORE_RESTORED, era: Era];
 
-/** A piece of news as it goes between nodes. */
+/** News as encoded between nodes. */
 export type NewsRow =
   | StandingRow
   | VersionRow
@@ -111,7 +112,7 @@
   | readonly [kind: typeof LIMIT_REQUEST, ...row: LimitRequestRow]
   | readonly [kind: typeof LIMIT_REPLY, ...row: LimitReplyRow];
 
-/** The row of a piece of news. */
+/** Encodes news as a row. */
 export function newsRow(news: PeerNews): NewsRow {
   switch (news.kind) {
     case 'standing':
@@ -123,7 +124,7 @@
     case 'report':
       return [REPORT, news.address, toRow(REPORT_FIELDS, news.report)];
     case 'boxes':
-      return [BOXES, news.boxes.map(boxRow)];
+      return [BOXES, news.boxes.map(encodeBox)];
     case 'records-lost':
       return [RECORDS_LOST, news.era, news.boxes];
     case 'store-restored':
@@ -135,7 +136,10 @@
   }
 }
 
-/** What is told of an upstream begins with its name, all else with a number. */
+/**
+ * Decodes news: a standing begins with an upstream's name, others with a
+ * number.
+ */
 export function newsFrom(row: NewsRow): PeerNews {
   const [first, second] = row;
   if (typeof first === 'string') {
@@ -145,11 +149,11 @@
     case FOLLOW:
       return {kind: 'follow', isWanted: second as boolean};
     case REPORT:
-      return reportFrom(row as ReportRow);
+      return decodeReport(row as ReportRow);
     case BOXES:
-      return boxesFrom(row as BoxesRow);
+      return decodeBoxes(row as BoxesRow);
     case RECORDS_LOST:
-      return recordsLostFrom(row as RecordsLostRow);
+      return decodeRecordsLost(row as RecordsLostRow);
     case STORE_RESTORED:
       return {kind: 'store-restored', era: second as Era};
     case LIMIT_REQUEST:
@@ -161,26 +165,26 @@
   }
 }
 
-function reportFrom([, address, row]: ReportRow): PeerNews {
+function decodeReport([, address, row]: ReportRow): PeerNews {
   const report = fromRow<ReaderReport>(REPORT_FIELDS, row);
   return {kind: 'report', address, report};
 }
 
-function boxesFrom([, rows]: BoxesRow): PeerNews {
-  return {kind: 'boxes', boxes: rows.map(boxFrom)};
+function decodeBoxes([, rows]: BoxesRow): PeerNews {
+  return {kind: 'boxes', boxes: rows.map(decodeBox)};
 }
 
-function recordsLostFrom([, era, boxes]: RecordsLostRow): PeerNews {
+function decodeRecordsLost([, era, boxes]: RecordsLostRow): PeerNews {
   return {kind: 'records-lost', era, boxes};
 }
 
-function boxRow(box: BoxRecord): readonly unknown[] {
+function encodeBox(box: BoxRecord): readonly unknown[] {
   const runs = box.runs?.map((run) => toRow(RUN_FIELDS, run));
   const lifts = box.lifts?.map((lift) => toRow(LIFT_FIELDS, lift));
   return toRow<CodedBox>(BOX_FIELDS, {...box, runs, lifts});
 }
 
-function boxFrom(row: readonly unknown[]): BoxRecord {
+function decodeBox(row: readonly unknown[]): BoxRecord {
   const {runs, lifts, ...box} = fromRow<CodedBox>(BOX_FIELDS, row);
   return {
     ...box,
--- a/packages/node/src/request/peekBody.ts
+++ b/packages/node/src/request/peekBody.ts
@@ -1,17 +1,17 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Looks at the beginning of a body that may be streamed afterwards. */
+/** Reads the beginning of a body that may be streamed afterwards. */
 
 import type {IncomingMessage} from 'node:http';
 
-/** What was there in time. */
+/** The part of a body that arrived in time. */
 export type PeekedBody =
   | {readonly kind: 'whole'; readonly bytes: Buffer}
-  /** More may come; what was read is given back to the request. */
+  /** More may follow; the bytes read were put back into the request. */
   | {readonly kind: 'beginning'; readonly bytes: Buffer}
-  /** The caller left. */
+  /** The caller disconnected. */
   | {readonly kind: 'cut'};
 
-/** Reads until so many bytes are there, the body has ended, or the time is over. */
+/** Reads until enough bytes have arrived, the body ends or the time is up. */
 export function peekBody(
   request: IncomingMessage,
   bytesWanted: number,
@@ -20,16 +20,16 @@
   return new Promise((resolve) => {
     const chunks: Buffer[] = [];
     let bytes = 0;
-    const timer = setTimeout(giveBack, milliseconds);
+    const timer = setTimeout(putBack, milliseconds);
     function end(peeked: PeekedBody): void {
       clearTimeout(timer);
       request.off('readable', read);
       request.off('end', ended);
-      request.off('error', cut);
-      request.off('close', cut);
+      request.off('error', aborted);
+      request.off('close', aborted);
       resolve(peeked);
     }
-    function giveBack(): void {
+    function putBack(): void {
       const beginning = Buffer.concat(chunks);
       if (beginning.length > 0) {
         request.unshift(beginning);
@@ -42,7 +42,7 @@
         bytes += chunk.length;
       }
       if (bytes >= bytesWanted) {
-        giveBack();
+        putBack();
       }
     }
     function next(): Buffer | null {
@@ -51,12 +51,12 @@
     function ended(): void {
       end({kind: 'whole', bytes: Buffer.concat(chunks)});
     }
-    function cut(): void {
+    function aborted(): void {
       end({kind: 'cut'});
     }
     request.on('readable', read);
     request.on('end', ended);
-    request.on('error', cut);
-    request.on('close', cut);
+    request.on('error', aborted);
+    request.on('close', aborted);
   });
 }
--- a/packages/node/src/request/problem.ts
+++ b/packages/node/src/request/problem.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Refusals as problem documents over HTTP. */
+/** Refusals as HTTP problem documents (RFC 9457). */
 
 import type {ServerResponse} from 'node:http';
 import type {Refusal, RefusalReason} from '@lockpin/types';
@@ -27,14 +27,16 @@
   'once-key-expired': 409,
 };
 
-const OTHERWISE = 503;
+const DEFAULT_STATUS = 503;
 
 /** The HTTP status of a refusal. */
 export function refusalStatus(reason: RefusalReason): number {
-  return STATUS_BY_REASON[reason] ?? OTHERWISE;
+  return STATUS_BY_REASON[reason] ?? DEFAULT_STATUS;
 }
 
-/** Sends a refusal as application/problem+json, with its outcome as a header. */
+/**
+ * Sends a refusal as application/problem+json, with its outcome as a header.
+ */
 export function sendProblem(
   response: ServerResponse,
   refusal: Refusal,
--- a/packages/node/src/request/readBody.ts
+++ b/packages/node/src/request/readBody.ts
@@ -1,19 +1,21 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Reads a body that has to be held whole. */
+/** Reads a body that is buffered completely. */
 
 import type {IncomingMessage} from 'node:http';
 
-/** The body; too-large beyond the limit, cut when the caller left. */
+/**
+ * Reads a body; 'too-large' above the limit, 'cut' if the caller disconnects.
+ */
 export function readBody(
   request: IncomingMessage,
-  most: number,
+  limitBytes: number,
 ): Promise<Buffer | 'too-large' | 'cut'> {
   return new Promise((resolve) => {
     const chunks: Buffer[] = [];
     let bytes = 0;
     request.on('data', (chunk: Buffer) => {
       bytes += chunk.length;
-      if (bytes > most) {
+      if (bytes > limitBytes) {
         request.removeAllListeners('data');
         request.resume();
         resolve('too-large');
--- a/packages/node/src/request/refusedRecord.ts
+++ b/packages/node/src/request/refusedRecord.ts
@@ -1,9 +1,9 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** What the log is told of requests that never became calls. */
+/** The log record of a request that did not become a call. */
 
 import type {RefusalReason} from '@lockpin/types';
 
-/** A request that was refused for who its caller is. */
+/** A request that was refused because of its caller. */
 export interface RefusedRecord {
   readonly requestId: string;
   readonly reason: RefusalReason;
--- a/packages/node/src/request/remoteExchange.ts
+++ b/packages/node/src/request/remoteExchange.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** An exchange with the guard of another box on a gRPC call of its own. */
+/** An exchange with a guard on another box, on a gRPC call of its own. */
 
 import grpc from '@grpc/grpc-js';
 import type {PeerClient} from '../connection/peerProtocol.js';
@@ -7,7 +7,7 @@
 import {readFrame, writeFrame} from './frames.js';
 import type {CallHead, Frame} from './frames.js';
 
-/** Begins an exchange whose request body follows in frames. */
+/** Starts an exchange whose request body follows in frames. */
 export function beginRemoteExchange(
   client: PeerClient,
   head: CallHead,
@@ -50,10 +50,10 @@
   };
 }
 
-/** What grpc-js says of a call that never got a connection. */
+/** Start of the grpc-js error details of a call that got no connection. */
 const NO_CONNECTION = 'No connection established';
 
-/** Whether the call certainly never left; anything unclear counts as sent. */
+/** Whether the call was certainly not sent; when unclear, it counts as sent. */
 export function neverSent(error: grpc.ServiceError): boolean {
   return (
     error.code === grpc.status.UNAVAILABLE &&
--- a/packages/node/src/request/remoteExchanges.ts
+++ b/packages/node/src/request/remoteExchanges.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Exchanges with the guards of other boxes. */
+/** Manages exchanges with the guards of other boxes. */
 
 import type {FollowedPeers} from '@lockpin/fleet';
 import type {PeerClient} from '../connection/peerProtocol.js';
@@ -12,9 +12,9 @@
 import {beginRemoteExchange} from './remoteExchange.js';
 
 /**
- * Keeps a stream to each guard in use: a gRPC call for every exchange costs
- * several times what the exchange does. A streamed request body gets a call of
- * its own, whose flow control holds it back.
+ * Keeps one stream to each guard in use, since a gRPC call per exchange costs
+ * several times as much as the exchange. A streamed request body gets a call of
+ * its own, for the flow control of that call.
  */
 export class RemoteExchanges {
   private readonly streams = new Map<string, ExchangeStream>();
@@ -22,17 +22,17 @@
 
   constructor(
     private readonly client: (address: string) => PeerClient,
-    private readonly newsExchange?: Pick<NewsExchange, 'first' | 'onNews'>,
-    /** Drops the client of an address, so that the next one connects anew. */
+    private readonly newsHandlers?: Pick<NewsExchange, 'first' | 'onNews'>,
+    /** Drops the client of an address, so that the next one reconnects. */
     private readonly renew: (address: string) => void = () => undefined,
-    /** Makes what counts the bytes of the frames to and from an address. */
+    /** Creates the counter of the frame bytes to and from an address. */
     private readonly counterFor: (
       address: string,
     ) => OnFrameBytes | undefined = () => undefined,
   ) {
     this.followed = new FollowedStreams(
       (address) => this.stream(address),
-      (address) => this.leaveConnection(address),
+      (address) => this.dropConnection(address),
     );
   }
 
@@ -42,7 +42,7 @@
       : this.stream(address).begin(head, handlers);
   }
 
-  /** Tells the nodes of all guards in use. */
+  /** Sends news to the nodes of all guards in use. */
   tell(news: PeerNews): void {
     for (const stream of this.streams.values()) {
       if (stream.isUsable) {
@@ -51,52 +51,54 @@
     }
   }
 
-  /** Tells one node, on the stream that calls to it use. */
+  /** Sends news to one node, on the stream that its calls use. */
   tellNode(address: string, news: PeerNews): void {
     this.stream(address).tell(news);
   }
 
-  /** Follows these nodes from now on, and no others. */
+  /** Follows the given nodes and unfollows all others. */
   follow(peers: FollowedPeers): void {
     this.followed.follow(peers);
   }
 
-  /** Opens streams to followed nodes again that have broken. */
+  /** Reopens broken streams to followed nodes. */
   keepFollowing(): void {
     this.followed.reopen();
   }
 
   /**
-   * A guard did not answer an offer. When that goes on, the next call gets a
-   * connection of its own: the present one may be cut without an end.
+   * Counts an offer that a guard did not answer. After several in a row, the
+   * next call uses a new connection: the current one may be dead without having
+   * been closed.
    */
   wasSilent(address: string): void {
     if (this.streams.get(address)?.wasSilent()) {
-      this.leaveConnection(address);
+      this.dropConnection(address);
     }
   }
 
-  /** What is under way there may still end; what is to come gets a new one. */
-  private leaveConnection(address: string): void {
+  /** Active exchanges may still finish; new ones use a new connection. */
+  private dropConnection(address: string): void {
     this.streams.delete(address);
     this.renew(address);
   }
 
   private stream(address: string): ExchangeStream {
     const client = this.client(address);
-    const found = this.streams.get(address);
-    if (found?.isUsable) {
-      return found;
+    const existing = this.streams.get(address);
+    if (existing?.isUsable) {
+      return existing;
     }
-    const made: ExchangeStream = new ExchangeStream(
+    const opened: ExchangeStream = new ExchangeStream(
       client.exchanges(),
-      (news) => this.newsExchange?.onNews(news, (answer) => made.tell(answer)),
+      (news) =>
+        this.newsHandlers?.onNews(news, (answer) => opened.tell(answer)),
       this.counterFor(address),
     );
-    this.streams.set(address, made);
-    if (this.newsExchange !== undefined) {
-      made.tell(this.newsExchange.first());
+    this.streams.set(address, opened);
+    if (this.newsHandlers !== undefined) {
+      opened.tell(this.newsHandlers.first());
     }
-    return made;
+    return opened;
   }
 }
--- a/packages/node/src/request/rows.ts
+++ b/packages/node/src/request/rows.ts
@@ -1,7 +1,10 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Objects as rows of their values: the names of fields would be a third of the bytes. */
+/**
+ * Encodes objects as rows of values without field names, which would be a third
+ * of the bytes.
+ */
 
-/** What is not known is sent as null, which takes one byte. */
+/** Encodes an object as a row; undefined becomes null, which takes one byte. */
 export function toRow<T extends object>(
   fields: readonly (keyof T)[],
   value: T,
@@ -9,7 +12,7 @@
   return fields.map((field) => value[field] ?? null);
 }
 
-/** The object of a row. */
+/** Decodes an object from its row. */
 export function fromRow<T extends object>(
   fields: readonly (keyof T)[],
   row: readonly unknown[],
--- a/packages/node/src/request/upstreamAnswer.ts
+++ b/packages/node/src/request/upstreamAnswer.ts
@@ -1,23 +1,24 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** An answer as it comes from an upstream. */
+/** An answer while it is received from an upstream. */
 
 import type {IncomingHttpHeaders} from 'node:http';
 import {answerHeaders} from './headers.js';
 import type {AnswerVerdict} from './upstreamProtocol.js';
 
-/** Answers up to this size are held back until they are whole. */
-const HELD_BACK_BYTES = 64 * 1024;
+/** Answers up to this size are buffered until they are complete. */
+const ANSWER_BUFFER_LIMIT_BYTES = 64 * 1024;
 
+/** Statuses whose answers have no body. */
 const NO_BODY_STATUSES: ReadonlySet<number> = new Set([204, 304]);
 
-/** Gathers what is small, and what has to be kept for repeats. */
+/** Buffers short answers, and answers to be stored for repeats. */
 export class UpstreamAnswer {
   readonly headers: readonly string[];
-  /** Only the end of its connection says where the answer ends. */
+  /** The answer is delimited only by the end of its connection. */
   readonly isUnframed: boolean;
-  /** Nothing goes to the entry before the answer is whole. */
+  /** Nothing is sent to the entry before the answer is complete. */
   isHeldBack: boolean;
-  /** The entry has got the head already. */
+  /** The head was sent to the entry. */
   hasBegun = false;
   private readonly chunks: Buffer[] = [];
   private bytes = 0;
@@ -26,7 +27,7 @@
     readonly status: number,
     raw: IncomingHttpHeaders,
     readonly verdict: AnswerVerdict,
-    private readonly isKept: boolean,
+    private readonly isStored: boolean,
     holdsUnframed: boolean,
   ) {
     this.headers = answerHeaders(flatten(raw));
@@ -35,21 +36,26 @@
     const isOpenEnded = Number.isNaN(length) && !hasNoBody;
     this.isUnframed = isOpenEnded && raw['transfer-encoding'] === undefined;
     this.isHeldBack =
-      length <= HELD_BACK_BYTES || hasNoBody || (isOpenEnded && holdsUnframed);
+      length <= ANSWER_BUFFER_LIMIT_BYTES ||
+      hasNoBody ||
+      (isOpenEnded && holdsUnframed);
   }
 
-  /** Takes a part of the body; says whether it is held back. */
+  /** Adds a part of the body; tells whether it is buffered. */
   take(chunk: Buffer): 'held' | 'too-long-to-hold' | 'passed-on' {
     this.bytes += chunk.length;
-    const wasHeldBack = this.isHeldBack;
-    if (wasHeldBack || (this.isKept && this.bytes <= HELD_BACK_BYTES)) {
+    const wasBuffered = this.isHeldBack;
+    if (
+      wasBuffered ||
+      (this.isStored && this.bytes <= ANSWER_BUFFER_LIMIT_BYTES)
+    ) {
       this.chunks.push(chunk);
     }
-    if (wasHeldBack && this.bytes > HELD_BACK_BYTES) {
+    if (wasBuffered && this.bytes > ANSWER_BUFFER_LIMIT_BYTES) {
       this.isHeldBack = false;
       return 'too-long-to-hold';
     }
-    return wasHeldBack ? 'held' : 'passed-on';
+    return wasBuffered ? 'held' : 'passed-on';
   }
 
   body(): Buffer {
@@ -58,15 +64,15 @@
       : Buffer.concat(this.chunks);
   }
 
-  /** The answer to keep for repeats; undefined when there is none to keep. */
+  /** The answer to store for repeats; undefined when none is to be stored. */
   stored(): {readonly status: number; readonly body: Buffer} | undefined {
-    return this.isKept && this.bytes <= HELD_BACK_BYTES
+    return this.isStored && this.bytes <= ANSWER_BUFFER_LIMIT_BYTES
       ? {status: this.status, body: this.body()}
       : undefined;
   }
 }
 
-/** Plain loops: this runs for every answer and showed in profiles. */
+/** Uses plain loops: it runs for every answer and was visible in profiles. */
 function flatten(headers: IncomingHttpHeaders): string[] {
   const flat: string[] = [];
   for (const name in headers) {
--- a/packages/node/src/request/upstreamDispatch.ts
+++ b/packages/node/src/request/upstreamDispatch.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** A guard's way to its upstream: sends a call, and takes in the answer. */
+/** Sends a guard's calls to their upstreams and receives the answers. */
 
 import type {IncomingHttpHeaders} from 'node:http';
 import {Readable} from 'node:stream';
@@ -14,28 +14,28 @@
 import {LOCKPIN_UPSTREAM_PROTOCOL} from './upstreamProtocol.js';
 import type {UpstreamProtocol} from './upstreamProtocol.js';
 
-/** What the dispatch needs of the guard's service. */
+/** What the dispatch needs from the guard service. */
 export interface UpstreamDispatchDependencies {
   readonly clock: Clock;
   readonly brain: GuardBrain;
   readonly pools: UpstreamPools;
   readonly protocol?: UpstreamProtocol;
-  /** Tells the brain of an event, and does what it decides. */
+  /** Passes an event to the decision logic and performs its actions. */
   readonly tell: (event: GuardEvent) => void;
-  /** Whether the guard still waits for what becomes of a call. */
+  /** Whether the guard still waits for the result of a call. */
   readonly isUnderWay: (exchange: GuardExchange) => boolean;
-  /** Told of a whole answer, before the brain is. */
+  /** Called for a complete answer, before the decision logic is notified. */
   readonly onAnswered: (exchange: GuardExchange, status: number) => void;
 }
 
-/** Statuses below this announce an answer rather than being one. */
+/** Statuses below this are interim responses. */
 const FIRST_FINAL_STATUS = 200;
 
 /** Sends calls to their upstreams. */
 export class UpstreamDispatch {
   constructor(private readonly dependencies: UpstreamDispatchDependencies) {}
 
-  /** Sends a call on its way; how it ends is told to the brain. */
+  /** Sends a call; its result is passed to the decision logic as an event. */
   run(exchange: GuardExchange, upstream: string): void {
     const {head, deadline} = exchange;
     const {pools, clock} = this.dependencies;
@@ -75,11 +75,11 @@
     }
   }
 
-  /** Breaks off the way to the upstream, or keeps it from beginning. */
+  /** Aborts the request to the upstream, or prevents it from starting. */
   abort(exchange: GuardExchange): void {
     exchange.isAborted = true;
     exchange.requestBody?.destroy();
-    exchange.controller?.abort(givenUp());
+    exchange.controller?.abort(abortError());
   }
 
   private headersFor(
@@ -109,7 +109,7 @@
       onRequestStart: (controller) => {
         exchange.controller = controller;
         if (exchange.isAborted) {
-          controller.abort(givenUp());
+          controller.abort(abortError());
           return;
         }
         wasSent = true;
@@ -134,16 +134,17 @@
     headers: IncomingHttpHeaders,
   ): void {
     const {protocol} = this;
-    const verdict = protocol.judge(exchange.head, status, headers);
+    const classification = protocol.judge(exchange.head, status, headers);
     const answer = new UpstreamAnswer(
       status,
       headers,
-      verdict,
+      classification,
       exchange.head.repetition === 'once-only',
       protocol.holdsUnframed,
     );
     exchange.answer = answer;
-    const isPassed = verdict === 'answer' || verdict === 'overloaded';
+    const isPassed =
+      classification === 'answer' || classification === 'overloaded';
     if (!answer.isHeldBack && isPassed) {
       this.sendHead(exchange, answer, upstream);
     }
@@ -179,8 +180,8 @@
       return;
     }
     const failure = pools.isConnectionReset
-      ? brokenOff(exchange.id)
-      : failureOf(exchange.id, answer);
+      ? interruptedEvent(exchange.id)
+      : failureEvent(exchange.id, answer);
     if (failure !== undefined) {
       tell(failure);
       return;
@@ -214,8 +215,8 @@
   }
 }
 
-/** What the brain is told of an answer that is none; undefined for others. */
-function failureOf(
+/** The event for a response that is not an answer; undefined for others. */
+function failureEvent(
   callId: string,
   {verdict}: UpstreamAnswer,
 ): GuardEvent | undefined {
@@ -225,13 +226,13 @@
     case 'other-upstream':
       return {kind: 'upstream-refused', callId, reason: 'upstream-replaced'};
     case 'invalid':
-      return brokenOff(callId);
+      return interruptedEvent(callId);
     default:
       return undefined;
   }
 }
 
-function brokenOff(callId: string): GuardEvent {
+function interruptedEvent(callId: string): GuardEvent {
   return {kind: 'upstream-failed', callId, wasSent: true};
 }
 
@@ -249,8 +250,8 @@
   };
 }
 
-function givenUp(): Error {
-  return new Error('given up');
+function abortError(): Error {
+  return new Error('request aborted by the guard');
 }
 
 function requestBytes(head: CallHead): Buffer | null {
--- a/packages/node/src/request/upstreamProtocol.ts
+++ b/packages/node/src/request/upstreamProtocol.ts
@@ -1,34 +1,34 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** How calls are written to upstreams, and what their answers say. */
+/** Formats calls to upstreams and classifies their answers. */
 
 import type {IncomingHttpHeaders} from 'node:http';
 import type {UpstreamIncarnation} from '@lockpin/types';
 import type {CallHead, FlatHeaders} from './frames.js';
 
-/** What an answer says of the call, besides its status. */
+/** What an answer means for its call, besides its status. */
 export type AnswerVerdict =
   | 'answer'
-  /** An answer, but the upstream has too much to do rather than being ill. */
+  /** An answer from an upstream that is overloaded rather than faulty. */
   | 'overloaded'
   /** The upstream states that it did not run the call. */
   | 'not-run'
-  /** Another process than the one meant; it did not run the call. */
+  /** Another process than the intended one; it did not run the call. */
   | 'other-upstream'
-  /** Not an answer to this call; whether it ran is not known. */
+  /** Not an answer to this call; whether the call ran is unknown. */
   | 'invalid';
 
-/** What is known when a call goes to its upstream. */
+/** What is known of a call when it is sent to its upstream. */
 export interface UpstreamCall {
   readonly head: CallHead;
   /** Milliseconds left until the deadline. */
   readonly remaining: number;
-  /** The same moment, in milliseconds since 1970. */
+  /** The deadline in milliseconds since 1970. */
   readonly deadline: number;
-  /** The process that is meant; undefined when not known. */
+  /** The intended process; undefined when unknown. */
   readonly incarnation: UpstreamIncarnation | undefined;
 }
 
-/** A deployment's way of talking to its upstreams. */
+/** The HTTP conventions between a deployment and its upstreams. */
 export interface UpstreamProtocol {
   readonly callHeaders: (call: UpstreamCall) => FlatHeaders;
   readonly judge: (
@@ -36,17 +36,17 @@
     status: number,
     headers: IncomingHttpHeaders,
   ) => AnswerVerdict;
-  /** Whether answers without a length are held back until they are whole. */
+  /** Whether answers without a length are buffered until they are complete. */
   readonly holdsUnframed: boolean;
 }
 
-/** The upstream turned the call away for its load. */
+/** The upstream rejected the call because of its load. */
 const TOO_MANY_REQUESTS = 429;
 
-/** The same, when it says how soon to come back. */
+/** The same, if the answer has a Retry-After header. */
 const UNAVAILABLE = 503;
 
-/** The product's own way. */
+/** The default protocol. */
 export const LOCKPIN_UPSTREAM_PROTOCOL: UpstreamProtocol = {
   callHeaders: ({head, deadline}) => [
     ...head.headers,
--- a/packages/node/src/request/wireCodes.ts
+++ b/packages/node/src/request/wireCodes.ts
@@ -1,15 +1,15 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
 /**
- * Numbers that stand for words between nodes. An offer is answered in a few bytes
- * then; offers are made several times for each call, and bytes between data centres
- * are paid for. A number keeps its meaning for good: new words get new numbers.
+ * Numeric codes of enum values between nodes. They keep replies to offers to a
+ * few bytes: each call makes several offers, and traffic between data centres
+ * is billed. Codes are permanent; new values get new codes.
  */
 
 import type {OfferTerms} from '@lockpin/brain';
 import type {AnnouncedState, LoadHint} from '@lockpin/routing';
 import type {RefusalOutcome, RefusalReason, Repetition} from '@lockpin/types';
 
-/** Translates between the words of one kind and their numbers. */
+/** Translates between the values of an enum and their codes. */
 export interface WireCodes<Word extends string> {
   readonly codeOf: (word: Word) => number;
   readonly wordOf: (code: number) => Word;
@@ -29,7 +29,9 @@
   };
 }
 
-/** Why a call was refused. A reason that a newer node gives is a lost guard here. */
+/**
+ * Refusal reasons. An unknown code, from a newer node, reads as 'guard-lost'.
+ */
 export const REASON_CODES = wireCodes<RefusalReason>(
   {
     'service-unknown': 1,
@@ -77,19 +79,21 @@
   'guard-lost',
 );
 
-/** Whether a refused call ran; what is not understood may have. */
+/**
+ * Refusal outcomes. An unknown code reads as 'unknown': the call may have run.
+ */
 export const OUTCOME_CODES = wireCodes<RefusalOutcome>(
   {'not-run': 1, unknown: 2},
   'unknown',
 );
 
-/** Whether a call may run twice; what is not understood may not. */
+/** Whether a call may be repeated. An unknown code reads as 'at-most-once'. */
 export const REPETITION_CODES = wireCodes<Repetition>(
   {repeatable: 1, 'at-most-once': 2, 'once-only': 3},
   'at-most-once',
 );
 
-/** What an offer asks for. */
+/** The terms of an offer. */
 export const TERMS_CODES = wireCodes<OfferTerms>(
   {immediate: 1, 'may-wait': 2, 'may-be-late': 3, 'last-resort': 4},
   'immediate',
@@ -100,7 +104,7 @@
   'accepting',
 );
 
-/** A load hint in the order of its fields; times in whole milliseconds. */
+/** The row of a load hint; times in whole milliseconds. */
 export type HintRow = readonly [
   state: number,
   occupied: number,
@@ -109,7 +113,9 @@
   probeIn?: number,
 ];
 
-/** Calls are whole, so that a limit rounded up lets the same number run. */
+/**
+ * Encodes a load hint; the limit rounds up, which admits the same whole calls.
+ */
 export function hintRow(hint: LoadHint): HintRow {
   const {state, occupied, limit, doubtedFor, probeIn} = hint;
   const load = [STATE_CODES.codeOf(state), occupied, Math.ceil(limit)] as const;
@@ -118,7 +124,7 @@
     : [...load, Math.ceil(doubtedFor), Math.ceil(probeIn ?? doubtedFor)];
 }
 
-/** The load hint of a row. */
+/** Decodes a load hint from its row. */
 export function hintOf(row: HintRow): LoadHint {
   const [code, occupied, limit, doubtedFor, probeIn] = row;
   const load = {state: STATE_CODES.wordOf(code), occupied, limit};
--- a/packages/once/src/__tests__/onceLedger.test.ts
+++ b/packages/once/src/__tests__/onceLedger.test.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** What a home says of its keys. */
+/** Decisions of a once ledger, and parsing of once keys. */
 
 import {describe, expect, it} from 'vitest';
 import {seededRandom} from '@lockpin/utils';
@@ -14,7 +14,7 @@
 function key(mintedAt = NOW): OnceKey {
   const parsed = parseOnceKey(mintOnceKey(mintedAt, random, HOME));
   if (parsed === undefined) {
-    throw new Error('a minted key cannot be read');
+    throw new Error('a minted key cannot be parsed');
   }
   return parsed;
 }
@@ -24,7 +24,7 @@
 }
 
 describe('OnceLedger', () => {
-  it('lets a key run once and answers its repeats', () => {
+  it('runs a key once and answers repeats with the stored answer', () => {
     const ledger = new OnceLedger(HOME);
     const one = key();
     expect(ledger.begin(NOW, one, 'd').kind).toBe('run');
@@ -37,7 +37,7 @@
     });
   });
 
-  it('says of a refused key that it was refused', () => {
+  it('reports a refused key as refused earlier', () => {
     const ledger = new OnceLedger(HOME);
     const one = key();
     ledger.begin(NOW, one, 'd');
@@ -45,7 +45,7 @@
     expect(ledger.begin(NOW, one, 'd').kind).toBe('refused-earlier');
   });
 
-  it('says of a broken exchange that it may have run', () => {
+  it('reports an interrupted exchange as may-have-run', () => {
     const ledger = new OnceLedger(HOME);
     const one = key();
     ledger.begin(NOW, one, 'd');
@@ -54,19 +54,19 @@
     expect(ledger.begin(NOW, one, 'd').kind).toBe('may-have-run');
   });
 
-  it('finds out another request under the same key', () => {
+  it('detects another request with the same key', () => {
     const ledger = new OnceLedger(HOME);
     const one = key();
     ledger.begin(NOW, one, 'd');
     expect(ledger.begin(NOW, one, 'e').kind).toBe('other-request');
   });
 
-  it('leaves a key of another process alone', () => {
+  it('rejects a key of another process', () => {
     const ledger = new OnceLedger({...HOME, incarnation: 'b'});
     expect(ledger.begin(NOW, key(), 'd').kind).toBe('other-home');
   });
 
-  it('never runs again what it has forgotten', () => {
+  it('never runs an evicted key again', () => {
     const ledger = new OnceLedger(HOME, {...DEFAULT_ONCE_LIMITS, keys: 100});
     const keys = Array.from({length: 300}, (_, i) => key(NOW + i));
     for (const one of keys) {
@@ -80,7 +80,7 @@
     }
   });
 
-  it('keeps answers within its bytes and still says that they ran', () => {
+  it('limits stored answers by bytes and still reports evicted ones as ran', () => {
     const limits = {...DEFAULT_ONCE_LIMITS, answerBytes: 100};
     const ledger = new OnceLedger(HOME, limits);
     const keys = Array.from({length: 10}, (_, i) => key(NOW + i));
@@ -93,14 +93,14 @@
     expect(kinds.slice(7)).toEqual(Array(3).fill('answer'));
   });
 
-  it('refuses a key from the future, which would outlive its time', () => {
+  it('refuses a key minted in the future, which would expire too late', () => {
     const ledger = new OnceLedger(HOME);
     expect(ledger.begin(NOW, key(NOW + 120_000), 'd').kind).toBe('expired');
   });
 });
 
 describe('parseOnceKey', () => {
-  it('reads what mintOnceKey writes, and nothing else', () => {
+  it('parses keys from mintOnceKey and rejects all others', () => {
     const text = mintOnceKey(NOW, random, HOME);
     expect(parseOnceKey(text)).toEqual({text, mintedAt: NOW, home: HOME});
     expect(parseOnceKey('abc')).toBeUndefined();
--- a/packages/once/src/onceKey.ts
+++ b/packages/once/src/onceKey.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Once keys: an identity with its time, bound to the process that may run it. */
+/** Once keys: a time-ordered id, bound to the one process that may run it. */
 
 import {v7, validate, version} from 'uuid';
 import type {RandomSource} from '@lockpin/types';
@@ -7,11 +7,11 @@
 /** The one process that may run a key. */
 export interface OnceHome {
   readonly box: string;
-  /** Distinguishes this process from all others that ran on the box. */
+  /** Distinguishes the process from all others that ran on the box. */
   readonly incarnation: string;
 }
 
-/** A once key, read. */
+/** A parsed once key. */
 export interface OnceKey {
   readonly text: string;
   readonly mintedAt: number;
@@ -21,7 +21,7 @@
 const SEPARATOR = '~';
 const RANDOM_BYTES = 16;
 
-/** Mints a key that only the given home will ever run. */
+/** Mints a key that only the given home may run. */
 export function mintOnceKey(
   now: number,
   random: RandomSource,
@@ -34,7 +34,7 @@
   return [identity, home.box, home.incarnation].join(SEPARATOR);
 }
 
-/** Reads a key; undefined when it is not one of lockpin's. */
+/** Parses a key; undefined when it was not minted by lockpin. */
 export function parseOnceKey(text: string): OnceKey | undefined {
   const [identity, box, incarnation, ...rest] = text.split(SEPARATOR);
   if (!identity || !box || !incarnation || rest.length > 0) {
@@ -50,7 +50,9 @@
   };
 }
 
-/** The identity of a process: its start and some randomness. */
+/**
+ * Creates the identity of a process from its start time and a random suffix.
+ */
 export function makeIncarnation(now: number, random: RandomSource): string {
   const suffix = Math.floor(random() * 2 ** 31).toString(36);
   return `${now.toString(36)}${suffix.padStart(6, '0')}`;
--- a/packages/once/src/onceLedger.ts
+++ b/packages/once/src/onceLedger.ts
@@ -1,9 +1,9 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** What one process knows of the once keys that are bound to it. */
+/** The state of the once keys that are bound to one process. */
 
 import type {OnceHome, OnceKey} from './onceKey.js';
 
-/** An answer kept for repeats of a key. */
+/** An answer stored for repeats of a key. */
 export interface StoredAnswer {
   readonly status: number;
   readonly headers: Readonly<Record<string, string>>;
@@ -15,29 +15,29 @@
   /** The key is new here and is now reserved: run it, or refuse it for good. */
   | {readonly kind: 'run'}
   | {readonly kind: 'answer'; readonly answer: StoredAnswer}
-  /** It ran, but its answer is no longer or was never held. */
+  /** It ran, but its answer was evicted or never stored. */
   | {readonly kind: 'already-ran'}
-  /** It was sent to the upstream and how that ended is not known. */
+  /** It was sent to the upstream and the result is unknown. */
   | {readonly kind: 'may-have-run'}
   | {readonly kind: 'running'}
   /** It was refused earlier, never ran and never will. */
   | {readonly kind: 'refused-earlier'}
   | {readonly kind: 'other-request'}
-  /** Bound to another process, which alone can know. */
+  /** Bound to another process; only that process knows its state. */
   | {readonly kind: 'other-home'}
-  /** So old that what became of it may be forgotten. */
+  /** So old that its state may have been evicted, or minted in the future. */
   | {readonly kind: 'expired'};
 
-/** How much is kept, and for how long. */
+/** Limits of the ledger's memory, and of clock skew. */
 export interface OnceLimits {
   readonly keys: number;
   readonly answerBytes: number;
   readonly largestAnswer: number;
-  /** Keys minted this far ahead of the clock here are refused. */
+  /** Keys minted further ahead of the local clock than this are refused. */
   readonly futureMilliseconds: number;
 }
 
-/** Limits that the callers' guide states. */
+/** The limits stated in the callers' guide. */
 export const DEFAULT_ONCE_LIMITS: OnceLimits = {
   keys: 50_000,
   answerBytes: 16 * 1024 * 1024,
@@ -56,16 +56,16 @@
 }
 
 /**
- * Runs each key at most once. The ledger is complete for the life of its
- * process, and a key is bound to one process, so no clock, no log and no other
- * node has a part in the promise. Keys leave memory oldest first, and the
- * time of the newest key that left is remembered: what is not younger than
- * that and unknown may have run.
+ * Ensures that each key runs at most once. A key is bound to one process and
+ * the ledger lasts as long as that process, so the guarantee depends on no
+ * clock, log or other node. Keys are evicted oldest first, and the mint time of
+ * the newest evicted key is kept: an unknown key that is not newer may have run
+ * and is treated as expired.
  */
 export class OnceLedger {
   private readonly entries = new Map<string, Entry>();
   private storedBytes = 0;
-  private forgottenUpTo = Number.NEGATIVE_INFINITY;
+  private evictedUpTo = Number.NEGATIVE_INFINITY;
 
   constructor(
     private readonly home: OnceHome,
@@ -76,7 +76,7 @@
     return this.entries.size;
   }
 
-  /** Decides on a call; reserves the key when the call is to run. */
+  /** Decides on a call; reserves the key if the call is to run. */
   begin(now: number, key: OnceKey, requestDigest: string): OnceDecision {
     const {box, incarnation} = key.home;
     if (box !== this.home.box || incarnation !== this.home.incarnation) {
@@ -86,25 +86,25 @@
     if (entry !== undefined) {
       return decideOnKnown(entry, requestDigest);
     }
-    const fromTheFuture = key.mintedAt > now + this.limits.futureMilliseconds;
-    if (key.mintedAt <= this.forgottenUpTo || fromTheFuture) {
+    const isFromFuture = key.mintedAt > now + this.limits.futureMilliseconds;
+    if (key.mintedAt <= this.evictedUpTo || isFromFuture) {
       return {kind: 'expired'};
     }
     this.add(key, requestDigest);
     return {kind: 'run'};
   }
 
-  /** The call goes to the upstream now. */
+  /** The call is being sent to the upstream. */
   started(key: string): void {
     this.set(key, 'running');
   }
 
-  /** The call was withdrawn before it ran; the key can never run any more. */
+  /** The call was refused before it ran; the key can never run. */
   refused(key: string): void {
     this.set(key, 'refused');
   }
 
-  /** The upstream answered whole. */
+  /** The upstream's answer was received completely. */
   answered(key: string, answer: StoredAnswer): void {
     const entry = this.set(key, 'answered');
     const bytes = answer.body.length;
@@ -114,15 +114,15 @@
     }
     entry.answer = answer;
     this.storedBytes += bytes;
-    this.dropOldAnswers();
+    this.evictOldAnswers();
   }
 
-  /** The upstream answered, but the answer is too large to keep. */
+  /** The upstream answered, but the answer is too large to store. */
   ran(key: string): void {
     this.set(key, 'ran');
   }
 
-  /** The exchange with the upstream broke: it may have run. */
+  /** The exchange with the upstream was interrupted: the call may have run. */
   broke(key: string): void {
     this.set(key, 'may-have-run');
   }
@@ -135,7 +135,7 @@
       answer: undefined,
     });
     if (this.entries.size > this.limits.keys) {
-      this.forgetOldest();
+      this.evictOldest();
     }
   }
 
@@ -147,19 +147,19 @@
     return entry;
   }
 
-  /** Forgets the tenth with the oldest times, except those still running. */
-  private forgetOldest(): void {
+  /** Evicts the oldest tenth of the keys, except reserved and running ones. */
+  private evictOldest(): void {
     const ended = [...this.entries]
       .filter(([, {state}]) => state !== 'running' && state !== 'reserved')
       .sort(([, a], [, b]) => a.mintedAt - b.mintedAt);
     for (const [key, entry] of ended.slice(0, this.limits.keys / 10)) {
       this.entries.delete(key);
       this.storedBytes -= entry.answer?.body.length ?? 0;
-      this.forgottenUpTo = Math.max(this.forgottenUpTo, entry.mintedAt);
+      this.evictedUpTo = Math.max(this.evictedUpTo, entry.mintedAt);
     }
   }
 
-  private dropOldAnswers(): void {
+  private evictOldAnswers(): void {
     for (const entry of this.entries.values()) {
       if (this.storedBytes <= this.limits.answerBytes) {
         return;
