--- a/packages/brain/src/control/configurationKeeper.ts
+++ b/packages/brain/src/control/configurationKeeper.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** The state in force on a node, and all that is kept to pass it on. */
+/** The state in force on a node, with what is kept to replicate it to peers. */
 
 import {
   ChangeHistory,
@@ -13,15 +13,15 @@
 import {RecordBuffer} from './recordBuffer.js';
 import {SnapshotShelf} from './snapshotShelf.js';
 
-/** Records passed to a peer in one reply. */
+/** Limit of the records in one reply to a peer. */
 const RECORDS_PER_REPLY = 500;
 
-/** Folds records in their order, whoever brought them. */
+/** Folds records in order, from whichever source they come. */
 export class ConfigurationKeeper {
   state = new ConfigurationState();
   history = new ChangeHistory();
   shelf = new SnapshotShelf();
-  /** Of the log that the state was folded from; undefined before anything was. */
+  /** Era of the log that the state was folded from; undefined before any. */
   era: Era | undefined;
   private buffer = new RecordBuffer();
 
@@ -29,7 +29,7 @@
     return this.state.version;
   }
 
-  /** Folds what is next and skips what is known; stops at a gap. */
+  /** Folds the next records and skips known ones; stops at a gap. */
   fold(records: readonly LogRecord<unknown>[]): readonly FoldResult[] {
     const folds: FoldResult[] = [];
     for (const record of records) {
@@ -46,7 +46,7 @@
     return folds;
   }
 
-  /** Takes the snapshot on the shelf when it is newer; false when it is not. */
+  /** Adopts the newest complete snapshot if it is newer than the state. */
   adoptSnapshot(): 'adopted' | 'older' | 'corrupt' {
     if (this.shelf.version <= this.state.version) {
       return 'older';
@@ -62,29 +62,29 @@
     return 'adopted';
   }
 
-  /** Records that led here, as far as they are kept. */
+  /** The latest records that led to this state. */
   rememberedRecords(): readonly LogRecord<unknown>[] {
     return this.buffer.all();
   }
 
-  /** Whether another state says the same at the same version. */
+  /** Whether a state of this version and digest equals this one. */
   isSameAs(version: number, digest: string): boolean {
     return version === this.version && digest === this.state.digest;
   }
 
-  /** Another history takes over; where it says the same, watches notice nothing. */
-  replaceBy(successor: ConfigurationKeeper): void {
-    const isSame = this.isSameAs(successor.version, successor.state.digest);
+  /** Replaces this history; watches continue if the state is the same. */
+  replaceBy(rebuilt: ConfigurationKeeper): void {
+    const isSame = this.isSameAs(rebuilt.version, rebuilt.state.digest);
     if (!isSame) {
-      this.state = successor.state;
-      this.history = new ChangeHistory(successor.version);
+      this.state = rebuilt.state;
+      this.history = new ChangeHistory(rebuilt.version);
     }
-    this.era = successor.era;
-    this.shelf = successor.shelf;
-    this.buffer = successor.buffer;
+    this.era = rebuilt.era;
+    this.shelf = rebuilt.shelf;
+    this.buffer = rebuilt.buffer;
   }
 
-  /** What a peer that stands at a version lacks. */
+  /** The records that a peer at a version lacks, or a snapshot instead. */
   recordsFor(version: number): {
     readonly records: readonly LogRecord<unknown>[];
     readonly snapshot: SnapshotChunk | undefined;
--- a/packages/brain/src/control/controlBrain.ts
+++ b/packages/brain/src/control/controlBrain.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** The control part of a node: configuration, members, permits, snapshots. */
+/** The control plane of a node: configuration, members, permits, snapshots. */
 
 import {isLogReader, Membership} from '@lockpin/membership';
 import type {
@@ -36,30 +36,30 @@
 import {timelineAction} from './timelineAction.js';
 import {VersionNews} from './versionNews.js';
 
-/** Settings of the control part. */
+/** Settings of the control plane. */
 export interface ControlSettings {
   readonly snapshots: SnapshotSettings;
 }
 
-/** Used unless the node's settings say otherwise. */
+/** Defaults where the node's settings give none. */
 export const DEFAULT_CONTROL_SETTINGS: ControlSettings = {
   snapshots: {everyRecords: 500, everyMilliseconds: 6 * 3_600_000},
 };
 
-/** Decides by (now, random, event) alone. */
+/** A state machine whose actions depend only on (now, random, event). */
 export class ControlBrain {
   readonly membership: Membership;
   readonly keeper = new ConfigurationKeeper();
   readonly holders: HolderRole;
   readonly clock = new HybridClock();
   readonly news: VersionNews;
-  private readonly publisher = new Publisher();
+  private readonly changePublisher = new Publisher();
   private readonly puller: PeerPuller;
-  private readonly writer: SnapshotWriter;
+  private readonly snapshotWriter: SnapshotWriter;
   private readonly follower: LogFollower;
-  private readonly reports: ReportRouter;
-  private readonly serving: PeerServing;
-  private readonly pulled: PulledRecords;
+  private readonly reportRouter: ReportRouter;
+  private readonly requestHandler: PeerServing;
+  private readonly pullResults: PulledRecords;
   readonly restores: RestoreKeeper;
   private phase: StartPhase = 'asking-peers';
   private startedAt: number | undefined;
@@ -70,36 +70,43 @@
     identity: MemberIdentity,
     settings: ControlSettings = DEFAULT_CONTROL_SETTINGS,
   ) {
-    const {keeper} = this;
+    const {keeper: replica} = this;
     this.membership = new Membership(identity);
     this.holders = new HolderRole(this.membership);
-    this.puller = new PeerPuller(this.membership, keeper, this.holders);
-    this.writer = new SnapshotWriter(this.membership, settings.snapshots);
-    this.reports = new ReportRouter(identity.box, keeper, this.holders);
-    this.serving = new PeerServing(this.membership, keeper, this.holders);
-    this.news = new VersionNews(this.membership, keeper, (now) =>
+    this.puller = new PeerPuller(this.membership, replica, this.holders);
+    this.snapshotWriter = new SnapshotWriter(
+      this.membership,
+      settings.snapshots,
+    );
+    this.reportRouter = new ReportRouter(identity.box, replica, this.holders);
+    this.requestHandler = new PeerServing(
+      this.membership,
+      replica,
+      this.holders,
+    );
+    this.news = new VersionNews(this.membership, replica, (now) =>
       this.context(now),
     );
     this.restores = new RestoreKeeper({
       membership: this.membership,
-      keeper,
+      keeper: replica,
       isReader: () => this.isReader,
     });
     this.follower = new LogFollower({
       box: identity.box,
       restores: this.restores,
-      keeper,
+      keeper: replica,
       holders: this.holders,
-      writer: this.writer,
+      writer: this.snapshotWriter,
       isReader: () => this.isReader,
-      isAwaiting: () => this.publisher.isWaiting,
+      isAwaiting: () => this.changePublisher.isWaiting,
       isReady: () => this.isReady,
       onFolded: (now, random) => [
         ...this.news.tellOfVersion(now, random),
         ...this.reviewChanges(now),
       ],
     });
-    this.pulled = new PulledRecords(keeper, this.holders, this.follower);
+    this.pullResults = new PulledRecords(replica, this.holders, this.follower);
   }
 
   get isReady(): boolean {
@@ -123,18 +130,18 @@
       case 'append-ended':
         return this.appendEnded(now, event);
       case 'exchange-received':
-        return [this.serving.serve(now, event.token, event.request)];
+        return [this.requestHandler.serve(now, event.token, event.request)];
       case 'exchange-ended':
         return this.exchangeEnded(now, random, event.token, event.reply);
       case 'change-offered':
-        return this.publisher.offer(
+        return this.changePublisher.offer(
           now,
           this.keeper.state,
           event.change,
           this.restores.isPending,
         );
       case 'guard-reported':
-        return this.reports.reported(now, event.service, event.reports);
+        return this.reportRouter.reported(now, event.service, event.reports);
       case 'watchers-counted':
         return this.news.watchersCounted(now, random, event.count > 0);
       case 'leaving':
@@ -146,10 +153,10 @@
     this.startedAt ??= now;
     const {state} = this.keeper;
     const context = this.context(now);
-    this.reviewReaderRole();
+    this.updateReaderRole();
     const probes = this.membership.tick(now, random, context);
     return [
-      ...this.fromMembership(now, probes),
+      ...this.membershipActions(now, probes),
       ...this.pull(now, random),
       ...this.advancePhase(now),
       ...this.follower.tick(now, random, this.phase),
@@ -162,11 +169,11 @@
   private writeSnapshot(now: number): readonly ControlAction[] {
     const {state, era = 0} = this.keeper;
     return this.follower.mayWriteSnapshots
-      ? this.writer.tick(now, state, era)
+      ? this.snapshotWriter.tick(now, state, era)
       : [];
   }
 
-  private reviewReaderRole(): void {
+  private updateReaderRole(): void {
     if (this.membersChanged) {
       this.membersChanged = false;
       const {own} = this.membership;
@@ -216,7 +223,7 @@
 
   private reviewChanges(now: number): readonly ControlAction[] {
     const {isPending} = this.restores;
-    return this.publisher.review(now, this.keeper.state, isPending);
+    return this.changePublisher.review(now, this.keeper.state, isPending);
   }
 
   private appendEnded(
@@ -233,14 +240,14 @@
       return [];
     }
     if (token === 'snapshot') {
-      return this.writer.appendEnded(result.kind === 'confirmed');
+      return this.snapshotWriter.appendEnded(result.kind === 'confirmed');
     }
     if (token.startsWith('holder ')) {
       readers.holders.hurry(now);
       return [];
     }
     readers.configuration.hurry(now);
-    return this.publisher.appendEnded(now, token, result);
+    return this.changePublisher.appendEnded(now, token, result);
   }
 
   private exchangeEnded(
@@ -249,17 +256,21 @@
     token: string,
     reply: PeerReply | undefined,
   ): readonly ControlAction[] {
-    if (this.reports.owns(token)) {
-      return this.reports.ended(token, reply);
+    if (this.reportRouter.owns(token)) {
+      return this.reportRouter.ended(token, reply);
     }
     if (!this.puller.owns(token)) {
       return [];
     }
-    const taken = this.pulled.take(now, random, this.puller.ended(now, reply));
-    return [...taken, ...this.pull(now, random)];
+    const handled = this.pullResults.take(
+      now,
+      random,
+      this.puller.ended(now, reply),
+    );
+    return [...handled, ...this.pull(now, random)];
   }
 
-  /** Asks a peer for what is lacking, without waiting for the next tick. */
+  /** Requests missing records from a peer before the next tick. */
   private pull(now: number, random: RandomSource): readonly ControlAction[] {
     return this.puller.tick(now, random, !this.isReady);
   }
@@ -276,24 +287,24 @@
     const actions = this.membership.receive(now, datagram, context);
     return [
       ...restored,
-      ...this.reviewDigest(now, datagram),
-      ...this.fromMembership(now, actions),
+      ...this.compareDigest(now, datagram),
+      ...this.membershipActions(now, actions),
       ...this.news.received(datagram),
       ...this.pull(now, random),
     ];
   }
 
-  /** The same log was folded to something else: both fold it anew. */
-  private reviewDigest(
+  /** Both nodes rebuild if their states differ at one version of one log. */
+  private compareDigest(
     now: number,
     {era, version, digest}: Datagram,
   ): readonly ControlAction[] {
-    const {keeper} = this;
+    const {keeper: replica} = this;
     const differs =
       this.isReady &&
-      era === keeper.era &&
-      version === keeper.version &&
-      digest !== keeper.state.digest;
+      era === replica.era &&
+      version === replica.version &&
+      digest !== replica.state.digest;
     if (differs) {
       this.restores.foldAnew(now);
     }
@@ -304,13 +315,16 @@
     now: number,
     boxes: readonly ListedBox[],
   ): readonly ControlAction[] {
-    const learnt = boxes
+    const unknownMembers = boxes
       .filter(({box}) => this.membership.get(box) === undefined)
       .map(memberFromList);
-    return this.fromMembership(now, this.membership.learn(now, learnt));
+    return this.membershipActions(
+      now,
+      this.membership.learn(now, unknownMembers),
+    );
   }
 
-  private fromMembership(
+  private membershipActions(
     now: number,
     actions: readonly MembershipAction[],
   ): readonly ControlAction[] {
@@ -329,10 +343,12 @@
     this.membersChanged = true;
     const {state, incarnation, box} = member;
     const detail = {state, incarnation};
-    const isNews = before?.state !== state && incarnation !== '';
+    const isStateChange = before?.state !== state && incarnation !== '';
     return [
       {kind: 'member-changed', member, before},
-      ...(isNews ? [timelineAction(`member-${state}`, box, detail)] : []),
+      ...(isStateChange
+        ? [timelineAction(`member-${state}`, box, detail)]
+        : []),
       ...this.news.memberChanged(now, member, before),
     ];
   }
@@ -350,7 +366,7 @@
   }
 }
 
-/** A box of the platform's list is not believed in before it is heard. */
+/** A box from the platform's list is suspect until it is heard from. */
 function memberFromList({box, dataCentre, peerAddress}: ListedBox): Member {
   return {
     box,
--- a/packages/brain/src/control/controlMessages.ts
+++ b/packages/brain/src/control/controlMessages.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** What a node's control part is told, and what it decides. */
+/** Events and actions of a node's control plane. */
 
 import type {FoldResult, SnapshotChunk} from '@lockpin/configuration';
 import type {
@@ -21,7 +21,7 @@
 /** The streams of the log that lockpin uses. */
 export type StreamName = 'configuration' | 'holders' | 'snapshots';
 
-/** What a read of the log came to. */
+/** The result of a log read. */
 export type LogReadResult =
   | {
       readonly kind: 'records';
@@ -39,7 +39,7 @@
     }
   | {readonly kind: 'unreachable'};
 
-/** What an append came to. */
+/** The result of an append. */
 export type AppendResult =
   | {
       readonly kind: 'confirmed';
@@ -51,17 +51,17 @@
   /** It may have taken effect. */
   | {readonly kind: 'unknown'};
 
-/** A holder's record with its fence, as peers pass it on. */
+/** A holder record with its fencing token, as peers exchange it. */
 export interface HolderEntry extends HolderRecord {
   readonly fence: Fence;
 }
 
-/** What one node asks another over the peer connection. */
+/** A request to another node over the peer connection. */
 export type PeerRequest =
   | {
       readonly kind: 'records';
       readonly version: number;
-      /** Undefined where the asker has folded nothing yet. */
+      /** Undefined if the requester has folded no records yet. */
       readonly era: Era | undefined;
       readonly holders: StreamPosition;
     }
@@ -77,7 +77,7 @@
       readonly reports: readonly GuardReport[];
     };
 
-/** What is answered to a peer. */
+/** The reply to a peer request. */
 export type PeerReply =
   | {
       readonly kind: 'records';
@@ -86,7 +86,7 @@
       readonly records: readonly LogRecord<unknown>[];
       readonly holders: readonly HolderEntry[];
       readonly holdersPosition: StreamPosition;
-      /** Set when the records asked for are gone: start from this snapshot. */
+      /** First chunk of the snapshot to use if the records were dropped. */
       readonly snapshot: SnapshotChunk | undefined;
     }
   | {readonly kind: 'snapshot-chunk'; readonly chunk: SnapshotChunk | undefined}
@@ -95,7 +95,7 @@
   | {readonly kind: 'not-holder'}
   | {readonly kind: 'not-ready'};
 
-/** A box as the platform lists it, with some lag. */
+/** A box in the platform's list, which may be out of date. */
 export interface ListedBox {
   readonly box: string;
   readonly dataCentre: string;
@@ -103,7 +103,7 @@
   readonly peerAddress: string;
 }
 
-/** What happens to the control part. */
+/** An input of the control plane. */
 export type ControlEvent =
   | {readonly kind: 'tick'}
   | {readonly kind: 'datagram-received'; readonly datagram: Datagram}
@@ -138,12 +138,12 @@
   | {readonly kind: 'watchers-counted'; readonly count: number}
   | {readonly kind: 'leaving'};
 
-/** How an offered change ended. */
+/** The final result of a submitted change. */
 export type ChangeSettlement =
   | {readonly kind: 'outcome'; readonly outcome: ChangeOutcome}
   | {readonly kind: 'failure'; readonly failure: ApiFailure};
 
-/** What the control part wants done. */
+/** An action that the control plane requests. */
 export type ControlAction =
   | {
       readonly kind: 'send';
@@ -154,7 +154,7 @@
       readonly kind: 'read-log';
       readonly stream: StreamName;
       readonly from: number;
-      /** How long the log may hold the answer for a new record. */
+      /** How long the log may wait for a new record before it answers. */
       readonly waitMilliseconds: number;
     }
   | {
@@ -175,7 +175,7 @@
       readonly reply: PeerReply;
     }
   | {readonly kind: 'folded'; readonly folds: readonly FoldResult[]}
-  /** The state came whole from a snapshot; watches cannot resume across it. */
+  /** The whole state was replaced; watches cannot resume across this. */
   | {readonly kind: 'state-replaced'}
   | {
       readonly kind: 'change-settled';
--- a/packages/brain/src/control/holderRole.ts
+++ b/packages/brain/src/control/holderRole.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Holding the permits of services: claiming, answering and standing down. */
+/** Claims, serves and gives up the permit holder role of services. */
 
 import type {ConfigurationState, ServiceView} from '@lockpin/configuration';
 import {DETECTION_SETTINGS} from '@lockpin/detection';
@@ -11,38 +11,38 @@
 import {isLaterPosition, laterPosition, stableHash} from '@lockpin/utils';
 import type {ControlAction, HolderEntry} from './controlMessages.js';
 
-/** A holder must have been missing this long before it is replaced. */
-const MISSING_MILLISECONDS = 1500;
+/** Time that a holder must be missing before it is replaced. */
+const HOLDER_TIMEOUT_MILLISECONDS = 1500;
 
-/** Each further candidate waits this much longer. */
-const RANK_MILLISECONDS = 2000;
+/** Additional delay per rank among the candidates. */
+const RANK_DELAY_MILLISECONDS = 2000;
 
-/** A claim that did not show up in the log is made again after this. */
-const CLAIM_MILLISECONDS = 5000;
+/** A claim that is not read back from the log is repeated after this. */
+const CLAIM_RETRY_MILLISECONDS = 5000;
 
-/** The holder of each service guards one of its upstreams. */
+/** Permits of a service are held by a node that guards one of its upstreams. */
 export class HolderRole {
   private readonly table = new HolderTable();
   private readonly held = new Map<string, PermitHolder>();
   private readonly missingSince = new Map<string, number>();
   private readonly claimedAt = new Map<string, number>();
-  /** One past the last record of the holders stream that is known. */
+  /** Position after the last known record of the holders stream. */
   position: StreamPosition = {era: 0, offset: 0};
 
   constructor(private readonly membership: Membership) {}
 
-  /** Takes in a record of the stream, from the log or a peer. */
+  /** Applies a holder record, from the log or a peer. */
   apply(entry: HolderEntry): readonly ControlAction[] {
     const {service, box, fence} = entry;
     this.knownUpTo({...fence, offset: fence.offset + 1});
     if (!this.table.apply(fence, entry)) {
       return [];
     }
-    const isOwn =
+    const isSelf =
       box === this.membership.own.box &&
       entry.incarnation === this.membership.own.incarnation;
     this.held.delete(service);
-    if (isOwn) {
+    if (isSelf) {
       this.held.set(service, new PermitHolder(fence, EMPTY_VIEW));
     }
     this.missingSince.delete(service);
@@ -57,12 +57,12 @@
     ];
   }
 
-  /** The stream is known up to here, by whatever way. */
+  /** Advances the position up to which the stream is known. */
   knownUpTo(position: StreamPosition): void {
     this.position = laterPosition(this.position, position);
   }
 
-  /** The log was restored: who holds what now is read from its beginning. */
+  /** Reads the holders of a restored log from its beginning. */
   logRestored(era: Era): void {
     this.knownUpTo({era, offset: 0});
   }
@@ -78,19 +78,19 @@
     return entries;
   }
 
-  /** Where a guard's reports go; undefined while nobody holds the permits. */
+  /** Receiver of the reports; undefined while nobody holds the permits. */
   holderOf(service: string): Member | undefined {
     const holder = this.table.get(service);
     const member = holder && this.membership.get(holder.box);
     return member?.incarnation === holder?.incarnation ? member : undefined;
   }
 
-  /** The fence of a service's holder. */
+  /** Fencing token of a service's holder. */
   fenceOf(service: string): Fence {
     return this.table.get(service)?.fence ?? NO_FENCE;
   }
 
-  /** Answers reports when the permits are held here. */
+  /** Answers reports if this node holds the permits, else undefined. */
   answer(
     now: number,
     state: ConfigurationState,
@@ -106,7 +106,7 @@
     return reports.map((report) => holder.report(now, report));
   }
 
-  /** Claims the permits of services whose holder is gone. */
+  /** Claims the permits of services whose holder is missing. */
   tick(now: number, state: ConfigurationState): readonly ControlAction[] {
     const {own} = this.membership;
     const actions: ControlAction[] = [];
@@ -130,10 +130,11 @@
     }
     const since = this.missingSince.get(service) ?? now;
     this.missingSince.set(service, since);
-    const patience =
-      MISSING_MILLISECONDS + RANK_MILLISECONDS * this.ownRank(view);
+    const delay =
+      HOLDER_TIMEOUT_MILLISECONDS +
+      RANK_DELAY_MILLISECONDS * this.ownRank(view);
     const claimed = this.claimedAt.get(service) ?? Number.NEGATIVE_INFINITY;
-    if (now - since < patience || now - claimed < CLAIM_MILLISECONDS) {
+    if (now - since < delay || now - claimed < CLAIM_RETRY_MILLISECONDS) {
       return [];
     }
     this.claimedAt.set(service, now);
@@ -148,7 +149,7 @@
     return member !== undefined && isUsable(member);
   }
 
-  /** Candidates that come before this node. */
+  /** Number of usable candidates ranked before this node. */
   private ownRank(view: ServiceView): number {
     const boxes = new Set(view.upstreams.map(({spec}) => spec.box));
     const rank = (box: string): number => stableHash(`${view.name} ${box}`);
--- a/packages/brain/src/control/logFollower.ts
+++ b/packages/brain/src/control/logFollower.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Follows the streams of the log: what to read when, and what records mean. */
+/** Reads the streams of the log and processes their records. */
 
 import type {Era, LogRecord, RandomSource} from '@lockpin/types';
 import type {ConfigurationKeeper} from './configurationKeeper.js';
@@ -18,50 +18,50 @@
 import {foldEvent, readHolder, streamsOf} from './streamRecords.js';
 import {timelineAction} from './timelineAction.js';
 
-/** In place of an answer from before a restore: nothing follows from it. */
+/** Replaces a result from before a restore, so that it has no effect. */
 const UNREACHABLE: LogReadResult = {kind: 'unreachable'};
 
-/** Milliseconds between the reads of a node that is no log reader. */
+/** Milliseconds between reads on a node that is not a log reader. */
 const SLOW_READ_MILLISECONDS = 60_000;
 const SLOW_SNAPSHOT_READ_MILLISECONDS = 300_000;
 
-/** What the follower works with. */
+/** Dependencies of the log follower. */
 export interface LogFollowerParts {
   readonly box: string;
   readonly keeper: ConfigurationKeeper;
   readonly holders: HolderRole;
   readonly writer: SnapshotWriter;
-  /** Whether this node reads the log all the time. */
+  /** Whether this node reads the log continuously. */
   readonly isReader: () => boolean;
-  /** Whether a change offered here waits to be read back. */
+  /** Whether a change submitted here is yet to be read back. */
   readonly isAwaiting: () => boolean;
   readonly isReady: () => boolean;
   readonly restores: RestoreKeeper;
-  /** Records were folded: tells of the new version. */
+  /** Called after records were folded, to announce the new version. */
   readonly onFolded: (
     now: number,
     random: RandomSource,
   ) => readonly ControlAction[];
 }
 
-/** Reads streams and folds what comes, from the log or from a peer. */
+/** Reads the streams and folds records from the log or from a peer. */
 export class LogFollower {
   readonly readers: Readonly<Record<StreamName, StreamReader>>;
   private snapshotsPosition = 0;
   private needsSnapshot = false;
 
-  constructor(private readonly parts: LogFollowerParts) {
-    const {keeper, holders} = parts;
+  constructor(private readonly dependencies: LogFollowerParts) {
+    const {keeper: replica, holders} = dependencies;
     this.readers = {
-      configuration: new StreamReader('configuration', () => keeper.version),
+      configuration: new StreamReader('configuration', () => replica.version),
       holders: new StreamReader('holders', () => holders.position.offset),
       snapshots: new StreamReader('snapshots', () => this.snapshotsPosition),
     };
   }
 
-  /** Only a node that has read the snapshots stream knows what is due. */
+  /** Only a node that has read the snapshots stream knows if one is due. */
   get mayWriteSnapshots(): boolean {
-    const {isReady, isReader, restores} = this.parts;
+    const {isReady, isReader, restores} = this.dependencies;
     return (
       isReady() &&
       isReader() &&
@@ -70,47 +70,52 @@
     );
   }
 
-  /** Reads what is due. */
+  /** Starts the reads that are due. */
   tick(
     now: number,
     random: RandomSource,
     phase: StartPhase,
   ): readonly ControlAction[] {
-    const {restores} = this.parts;
-    const restoring = restores.tick(now);
+    const {restores} = this.dependencies;
+    const restoreActions = restores.tick(now);
     const streams: readonly StreamName[] = restores.isPending
       ? ['holders']
       : streamsOf(phase);
     return [
       ...streams.flatMap((stream) =>
-        this.readers[stream].tick(now, this.pace(stream)),
+        this.readers[stream].tick(now, this.schedule(stream)),
       ),
-      ...restoring,
+      ...restoreActions,
       ...this.finishRestore(now, random),
     ];
   }
 
-  /** Takes in the answer of the log. */
+  /** Handles the result of a log read. */
   logRead(
     now: number,
     random: RandomSource,
     stream: StreamName,
     result: LogReadResult,
   ): readonly ControlAction[] {
-    const {restores} = this.parts;
-    const isOutdated = 'era' in result && this.isOutdated(now, result.era);
-    const taken: LogReadResult = isOutdated ? UNREACHABLE : result;
+    const {restores} = this.dependencies;
+    const isStale = 'era' in result && this.isOutdated(now, result.era);
+    const currentResult: LogReadResult = isStale ? UNREACHABLE : result;
     if (stream !== 'holders' && restores.isPending) {
-      this.readers[stream].ended(now, random, UNREACHABLE, this.pace(stream));
-      restores.current?.logRead(now, random, stream, taken);
+      this.readers[stream].ended(
+        now,
+        random,
+        UNREACHABLE,
+        this.schedule(stream),
+      );
+      restores.current?.logRead(now, random, stream, currentResult);
       return this.finishRestore(now, random);
     }
-    return this.takeRead(now, random, stream, taken);
+    return this.handleRead(now, random, stream, currentResult);
   }
 
-  /** An append was confirmed in an era. */
+  /** Records the era of a log response; true if the response is outdated. */
   isOutdated(now: number, era: Era): boolean {
-    const {restores, holders} = this.parts;
+    const {restores, holders} = this.dependencies;
     const isOutdated = restores.isOutdated(now, era);
     if (!isOutdated && era > holders.position.era) {
       holders.logRestored(era);
@@ -119,7 +124,7 @@
     return isOutdated;
   }
 
-  private takeRead(
+  private handleRead(
     now: number,
     random: RandomSource,
     stream: StreamName,
@@ -127,19 +132,19 @@
   ): readonly ControlAction[] {
     const reader = this.readers[stream];
     const hadReachedTail = reader.hasReachedTail;
-    const actions = this.takeResult(now, random, stream, result);
-    reader.ended(now, random, result, this.pace(stream));
-    const isRead =
+    const actions = this.handleResult(now, random, stream, result);
+    reader.ended(now, random, result, this.schedule(stream));
+    const isFirstTail =
       stream === 'holders' && reader.hasReachedTail && !hadReachedTail;
-    return isRead ? [...actions, {kind: 'holders-read'}] : actions;
+    return isFirstTail ? [...actions, {kind: 'holders-read'}] : actions;
   }
 
-  /** What was folded anew takes over once nothing is missing in it. */
+  /** Switches to the rebuilt state once the restore is complete. */
   private finishRestore(
     now: number,
     random: RandomSource,
   ): readonly ControlAction[] {
-    const {restores, writer, onFolded} = this.parts;
+    const {restores, writer, onFolded} = this.dependencies;
     const position = restores.current?.snapshotsPosition ?? 0;
     const actions = restores.finish(now);
     if (actions.length === 0) {
@@ -158,24 +163,24 @@
     random: RandomSource,
     records: readonly LogRecord<unknown>[],
   ): readonly ControlAction[] {
-    const folds = this.parts.keeper.fold(records);
+    const folds = this.dependencies.keeper.fold(records);
     return folds.length === 0
       ? []
       : [
           {kind: 'folded', folds},
           ...folds.map(foldEvent),
-          ...this.parts.onFolded(now, random),
+          ...this.dependencies.onFolded(now, random),
         ];
   }
 
-  /** A snapshot is adopted only by a node that has no way to fold on. */
+  /** Adopts a snapshot only if this node cannot continue from the log. */
   adoptSnapshot(): readonly ControlAction[] {
-    const {keeper, box, isReady} = this.parts;
+    const {keeper: replica, box, isReady} = this.dependencies;
     if (isReady() && !this.needsSnapshot) {
       return [];
     }
-    const result = keeper.adoptSnapshot();
-    const {version} = keeper;
+    const result = replica.adoptSnapshot();
+    const {version} = replica;
     if (result === 'adopted') {
       this.needsSnapshot = false;
       const event = timelineAction('snapshot-adopted', box, {version});
@@ -186,10 +191,10 @@
       : [];
   }
 
-  private pace(stream: StreamName): ReadingPace {
-    const {isReader, isAwaiting} = this.parts;
+  private schedule(stream: StreamName): ReadingPace {
+    const {isReader, isAwaiting: isAwaitingChange} = this.dependencies;
     const isAwaited =
-      (stream === 'configuration' && isAwaiting()) ||
+      (stream === 'configuration' && isAwaitingChange()) ||
       (stream === 'snapshots' && this.needsSnapshot);
     const interval =
       stream === 'snapshots'
@@ -198,7 +203,7 @@
     return {isContinuous: isReader() || isAwaited, interval};
   }
 
-  private takeResult(
+  private handleResult(
     now: number,
     random: RandomSource,
     stream: StreamName,
@@ -206,26 +211,30 @@
   ): readonly ControlAction[] {
     switch (result.kind) {
       case 'records':
-        this.noteRetention(stream, result.first, result.next);
-        this.noteLength(now, stream, result.next);
-        return this.takeRecords(now, random, stream, result);
+        this.updateRetention(stream, result.first, result.next);
+        this.checkLength(now, stream, result.next);
+        return this.handleRecords(now, random, stream, result);
       case 'expired':
-        return this.overtaken(now, stream, result);
+        return this.handleExpired(now, stream, result);
       case 'unreachable':
         return [];
     }
   }
 
-  /** A state of more records than the log has came from a history that is gone. */
-  private noteLength(now: number, stream: StreamName, next: number): void {
+  /** A state with more records than the log has is from a lost history. */
+  private checkLength(now: number, stream: StreamName, next: number): void {
     const {readFrom} = this.readers.configuration;
     if (stream === 'configuration' && next < readFrom) {
-      this.parts.restores.foldAnew(now);
+      this.dependencies.restores.foldAnew(now);
     }
   }
 
-  private noteRetention(stream: StreamName, first: number, next: number): void {
-    const {writer} = this.parts;
+  private updateRetention(
+    stream: StreamName,
+    first: number,
+    next: number,
+  ): void {
+    const {writer} = this.dependencies;
     if (stream === 'configuration') {
       writer.retentionSeen(first, next);
     } else if (stream === 'snapshots') {
@@ -233,7 +242,7 @@
     }
   }
 
-  private takeRecords(
+  private handleRecords(
     now: number,
     random: RandomSource,
     stream: StreamName,
@@ -243,24 +252,24 @@
       case 'configuration':
         return this.fold(now, random, records);
       case 'holders':
-        return records.flatMap((record) => this.takeHolder(era, record));
+        return records.flatMap((record) => this.applyHolder(era, record));
       case 'snapshots':
-        return records.flatMap((record) => this.takeChunk(now, record));
+        return records.flatMap((record) => this.addChunk(now, record));
     }
   }
 
-  /** The log no longer has what is next here: start from a snapshot. */
-  private overtaken(
+  /** Handles an expired offset: the configuration continues from a snapshot. */
+  private handleExpired(
     now: number,
     stream: StreamName,
     {era, first}: LogReadResult & {readonly kind: 'expired'},
   ): readonly ControlAction[] {
-    const {keeper, holders, box} = this.parts;
+    const {keeper: replica, holders, box} = this.dependencies;
     switch (stream) {
       case 'configuration': {
         this.needsSnapshot = true;
         this.readers.snapshots.hurry(now);
-        const detail = {version: keeper.version, first};
+        const detail = {version: replica.version, first};
         return [timelineAction('log-overtook-reader', box, detail)];
       }
       case 'holders':
@@ -272,23 +281,23 @@
     }
   }
 
-  private takeHolder(
+  private applyHolder(
     era: Era,
     {offset, value}: LogRecord<unknown>,
   ): readonly ControlAction[] {
-    const {holders} = this.parts;
+    const {holders} = this.dependencies;
     const entry = readHolder({era, offset}, value);
     holders.knownUpTo({era, offset: offset + 1});
     return entry === undefined ? [] : holders.apply(entry);
   }
 
-  private takeChunk(
+  private addChunk(
     now: number,
     {offset, value}: LogRecord<unknown>,
   ): readonly ControlAction[] {
-    const {keeper, writer} = this.parts;
+    const {keeper: replica, writer} = this.dependencies;
     this.snapshotsPosition = Math.max(this.snapshotsPosition, offset + 1);
-    if (!isSnapshotChunk(value) || !keeper.shelf.add(value)) {
+    if (!isSnapshotChunk(value) || !replica.shelf.add(value)) {
       return [];
     }
     writer.seen(now, value.version, offset);
--- a/packages/brain/src/control/logRestore.ts
+++ b/packages/brain/src/control/logRestore.ts
@@ -1,9 +1,10 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
 /**
- * What a node does when the log has come back as it was some time ago. The log is the
- * truth for all nodes, and what was accepted must not go back: so the state in force stays
- * while the log is folded anew beside it, and nodes write again what the log has lost, in
- * its order. The new state takes over once nothing of the old one is missing in the log.
+ * Recovers from a log that was restored to an earlier point in time. The log is
+ * authoritative for all nodes, but accepted changes must not be undone. So the
+ * state in force is kept while the log is folded again beside it, and nodes
+ * rewrite the records that the log has lost, in their order. The rebuilt state
+ * takes over once the log lacks no record of the old one.
  */
 
 import type {SnapshotChunk} from '@lockpin/configuration';
@@ -21,48 +22,48 @@
 import type {ReadingPace} from './streamReader.js';
 import type {RandomSource} from '@lockpin/types';
 
-/** Time that each further node in line waits for those before it to write. */
-const TURN_MILLISECONDS = 3000;
+/** Delay per rank, so that lower-ranked nodes can write first. */
+const RANK_DELAY_MILLISECONDS = 3000;
 
-/** A record that was written and has not shown up is written again after this. */
+/** A rewritten record that is not read back is written again after this. */
 const REWRITE_MILLISECONDS = 5000;
 
-/** Nobody remembers what is still missing if nothing has come for this long. */
-const GIVE_UP_MILLISECONDS = 30_000;
+/** Without progress for this long, missing records count as unrecoverable. */
+const PROGRESS_TIMEOUT_MILLISECONDS = 30_000;
 
-/** Appends of a restore have this before the identity of their change. */
+/** Prefix of the append tokens of a restore, before the change identifier. */
 const TOKEN_PREFIX = 'rewrite ';
 
-/** Reads on at once: callers of the API wait for the end of this. */
-const PACE: ReadingPace = {isContinuous: true, interval: 0};
+/** Reads continuously, because API callers wait for the restore to end. */
+const SCHEDULE: ReadingPace = {isContinuous: true, interval: 0};
 
-/** A longer log is folded from a snapshot on. */
-const MOST_FOLDED_RECORDS = BUFFERED_RECORDS;
+/** A log with more records is folded from a snapshot on. */
+const MAX_FOLDED_RECORDS = BUFFERED_RECORDS;
 
-/** What became of a change that was accepted before. */
+/** A previously accepted change that the restored log does not accept. */
 export interface LostChange {
   readonly changeId: string;
-  /** What the log now makes of it; undefined where it is not there. */
+  /** Its outcome in the restored log; undefined if it is not there. */
   readonly outcome: ChangeOutcome | undefined;
 }
 
-/** What a restore works with. */
+/** Parameters of a restore. */
 export interface LogRestoreParts {
   readonly era: Era;
-  /** Snapshots of earlier eras are passed over: one of them may be of a lost history. */
+  /** Ignores snapshots of earlier eras: one may belong to a lost history. */
   readonly onlyThisEra: boolean;
-  /** What was in force when the restore was noticed. */
+  /** The state in force when the restore was detected. */
   readonly before: ConfigurationKeeper;
-  /** How many nodes are to write before this one. */
+  /** Number of nodes that write before this one. */
   readonly turn: () => number;
 }
 
-/** Lives from the first word of a new era until its state is in force here. */
+/** A restore, from detection of the new era until its state is in force. */
 export class LogRestore {
   readonly successor = new ConfigurationKeeper();
-  /** One past the last record of the snapshots stream that was read. */
+  /** Offset after the last record read from the snapshots stream. */
   snapshotsPosition = 0;
-  /** Records that this node has written again. */
+  /** Number of records that this node has rewritten. */
   rewritten = 0;
   private readonly readers = {
     snapshots: new StreamReader('snapshots', () => this.snapshotsPosition),
@@ -72,40 +73,40 @@
     ),
   };
   private readonly writtenAt = new Map<string, number>();
-  private isWriting = false;
+  private isAppending = false;
   private tailReachedAt: number | undefined;
-  /** Records that the log had when it was first read in this era. */
-  private lengthAtFirst: number | undefined;
+  /** Number of records in the log when it was first read in this era. */
+  private initialLength: number | undefined;
   private needsSnapshot = false;
   private progressAt = 0;
   private progressVersion = -1;
 
-  constructor(private readonly parts: LogRestoreParts) {
-    this.successor.era = parts.era;
+  constructor(private readonly options: LogRestoreParts) {
+    this.successor.era = options.era;
   }
 
   get era(): Era {
-    return this.parts.era;
+    return this.options.era;
   }
 
-  /** Whether an append belongs to a restore. */
+  /** Whether an append token belongs to a restore. */
   static owns(token: string): boolean {
     return token.startsWith(TOKEN_PREFIX);
   }
 
-  /** Reads on, and writes what is missing when it is this node's turn. */
+  /** Continues reading, and rewrites missing records in this node's turn. */
   tick(now: number): readonly ControlAction[] {
     const {snapshots, configuration} = this.readers;
     return [
-      ...(this.needsSnapshot ? snapshots.tick(now, PACE) : []),
+      ...(this.needsSnapshot ? snapshots.tick(now, SCHEDULE) : []),
       ...(this.needsSnapshot && !snapshots.hasReachedTail
         ? []
-        : configuration.tick(now, PACE)),
+        : configuration.tick(now, SCHEDULE)),
       ...this.rewrite(now),
     ];
   }
 
-  /** Takes in the answer of the log. */
+  /** Handles the result of a log read. */
   logRead(
     now: number,
     random: RandomSource,
@@ -113,17 +114,16 @@
     result: LogReadResult,
   ): void {
     if (result.kind !== 'unreachable' && stream === 'configuration') {
-      this.lengthAtFirst ??= result.next;
+      this.initialLength ??= result.next;
       this.needsSnapshot ||=
-        this.successor.version === 0 &&
-        this.lengthAtFirst > MOST_FOLDED_RECORDS;
+        this.successor.version === 0 && this.initialLength > MAX_FOLDED_RECORDS;
     }
     if (result.kind === 'records') {
-      this.take(stream, result.records);
+      this.handleRecords(stream, result.records);
     } else if (result.kind === 'expired') {
-      this.skip(now, stream, result.first);
+      this.handleExpired(now, stream, result.first);
     }
-    this.readers[stream].ended(now, random, result, PACE);
+    this.readers[stream].ended(now, random, result, SCHEDULE);
     if (this.readers.configuration.hasReachedTail) {
       this.tailReachedAt ??= now;
     }
@@ -133,9 +133,9 @@
     }
   }
 
-  /** An append of this restore has ended. */
+  /** Handles the result of an append of this restore. */
   appendEnded(now: number, token: string, result: AppendResult): void {
-    this.isWriting = false;
+    this.isAppending = false;
     if (result.kind === 'not-appended') {
       this.writtenAt.delete(token.slice(TOKEN_PREFIX.length));
     } else {
@@ -144,18 +144,18 @@
     this.readers.configuration.hurry(now);
   }
 
-  /** Whether all that was known before is in the log again, or nobody knows it. */
+  /** Whether the log has all known records again, or the rest is lost. */
   isComplete(now: number): boolean {
     if (this.tailReachedAt === undefined || this.missing().length > 0) {
       return false;
     }
-    const isWhole = this.successor.version >= this.parts.before.version;
-    return isWhole || now - this.progressAt > GIVE_UP_MILLISECONDS;
+    const isRestored = this.successor.version >= this.options.before.version;
+    return isRestored || now - this.progressAt > PROGRESS_TIMEOUT_MILLISECONDS;
   }
 
-  /** Changes that were accepted and are not any more, by what the log says. */
+  /** Previously accepted changes that the restored log does not accept. */
   lostChanges(): readonly LostChange[] {
-    const {before} = this.parts;
+    const {before} = this.options;
     return before.rememberedRecords().flatMap(({value}) => {
       const changeId = changeIdOf(value);
       const wasAccepted =
@@ -168,10 +168,10 @@
     });
   }
 
-  /** Refused ones are written again too, so that all others keep their offsets. */
+  /** Includes refused changes, so that all other records keep their offsets. */
   private missing(): readonly LogRecord<unknown>[] {
     const {state} = this.successor;
-    return this.parts.before.rememberedRecords().filter(({value}) => {
+    return this.options.before.rememberedRecords().filter(({value}) => {
       const changeId = changeIdOf(value);
       return changeId !== undefined && state.outcomeOf(changeId) === undefined;
     });
@@ -181,8 +181,8 @@
     const {tailReachedAt} = this;
     const isTurn =
       tailReachedAt !== undefined &&
-      now - tailReachedAt >= this.parts.turn() * TURN_MILLISECONDS;
-    if (!isTurn || this.isWriting) {
+      now - tailReachedAt >= this.options.turn() * RANK_DELAY_MILLISECONDS;
+    if (!isTurn || this.isAppending) {
       return [];
     }
     const next = this.missing().find(({value}) => {
@@ -193,7 +193,7 @@
     if (next === undefined || changeId === undefined) {
       return [];
     }
-    this.isWriting = true;
+    this.isAppending = true;
     this.writtenAt.set(changeId, now);
     const token = `${TOKEN_PREFIX}${changeId}`;
     return [
@@ -201,13 +201,14 @@
     ];
   }
 
-  private take(
+  private handleRecords(
     stream: Exclude<StreamName, 'holders'>,
     records: readonly LogRecord<unknown>[],
   ): void {
     if (stream === 'configuration') {
-      const isLong = this.needsSnapshot && this.successor.version === 0;
-      this.successor.fold(isLong ? [] : records);
+      const isAwaitingSnapshot =
+        this.needsSnapshot && this.successor.version === 0;
+      this.successor.fold(isAwaitingSnapshot ? [] : records);
       return;
     }
     for (const {offset, value} of records) {
@@ -218,18 +219,18 @@
     }
   }
 
-  /** A node that did not know of the restore may have written what the log has lost. */
+  /** A node unaware of the restore may have snapshotted a lost history. */
   private isTrusted(value: unknown): value is SnapshotChunk {
-    const {era, onlyThisEra} = this.parts;
+    const {era, onlyThisEra} = this.options;
     return (
       isSnapshotChunk(value) &&
-      value.version <= (this.lengthAtFirst ?? 0) &&
+      value.version <= (this.initialLength ?? 0) &&
       (!onlyThisEra || value.era === era)
     );
   }
 
-  /** The log no longer has what is next: a snapshot leads on. */
-  private skip(
+  /** Handles an expired offset: reading continues from a snapshot. */
+  private handleExpired(
     now: number,
     stream: Exclude<StreamName, 'holders'>,
     first: number,
--- a/packages/brain/src/control/peerPuller.ts
+++ b/packages/brain/src/control/peerPuller.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Getting records and snapshots from peers. */
+/** Pulls records and snapshots from peers. */
 
 import type {SnapshotChunk} from '@lockpin/configuration';
 import {sample} from '@lockpin/membership';
@@ -10,16 +10,16 @@
 import type {ControlAction, PeerReply, PeerRequest} from './controlMessages.js';
 import type {HolderRole} from './holderRole.js';
 
-/** An exchange that has not ended after this is given up. */
-const EXCHANGE_MILLISECONDS = 3000;
+/** An exchange that has not ended after this is abandoned. */
+const EXCHANGE_TIMEOUT_MILLISECONDS = 3000;
 
-/** After a peer was of no help, the next is asked this much later. */
-const PAUSE_MILLISECONDS = 200;
+/** Delay before the next pull after an unsuccessful one. */
+const RETRY_DELAY_MILLISECONDS = 200;
 
-/** Peers that a starting node asks, so that one that lags does not decide. */
+/** Peers that a starting node asks, so that a stale one is not decisive. */
 export const PEERS_ASKED_AT_START = 3;
 
-const TOKEN = 'pull';
+const TOKEN_PREFIX = 'pull';
 
 interface Transfer {
   readonly writer: string;
@@ -27,7 +27,7 @@
   next: number;
 }
 
-/** What a reply brought. */
+/** The result of an exchange. */
 export type PullResult =
   | {readonly kind: 'nothing'}
   | {
@@ -36,22 +36,22 @@
     }
   | {readonly kind: 'snapshot-chunk'; readonly chunk: SnapshotChunk};
 
-/** One exchange at a time, with the peer that is known to be ahead. */
+/** Runs one exchange at a time, with a peer that is known to be ahead. */
 export class PeerPuller {
-  /** Peers that have answered with their records. */
+  /** Boxes of the peers that have replied with records. */
   answered = new Set<string>();
   private readonly asked = new Set<string>();
   private peer: Member | undefined;
   private startedAt = 0;
   private serial = 0;
-  private isBusy = false;
-  private nextAt = 0;
+  private isExchanging = false;
+  private nextPullAt = 0;
   private transfer: Transfer | undefined;
   private ahead: Member | undefined;
 
   constructor(
     private readonly membership: Membership,
-    private readonly keeper: ConfigurationKeeper,
+    private readonly replica: ConfigurationKeeper,
     private readonly holders: HolderRole,
   ) {}
 
@@ -59,16 +59,17 @@
     return this.transfer !== undefined;
   }
 
-  /** Whether this token belongs to the exchange under way. */
+  /** Whether the token belongs to the exchange in progress. */
   owns(token: string): boolean {
-    return token === `${TOKEN} ${this.serial}` && this.isBusy;
+    return token === `${TOKEN_PREFIX} ${this.serial}` && this.isExchanging;
   }
 
-  /** A peer's datagram showed how far it is. */
+  /** Records whether a peer is ahead, according to its datagram. */
   heardOf(peer: Member, {version, era, holders}: DatagramHeader): void {
-    const isSameLog = this.keeper.era === undefined || era === this.keeper.era;
+    const isSameEra =
+      this.replica.era === undefined || era === this.replica.era;
     const isAhead =
-      (isSameLog && version > this.keeper.version) ||
+      (isSameEra && version > this.replica.version) ||
       isLaterPosition(holders, this.holders.position);
     if (isAhead && this.transfer === undefined) {
       this.ahead = peer;
@@ -80,27 +81,30 @@
     random: RandomSource,
     isStarting: boolean,
   ): readonly ControlAction[] {
-    if (this.isBusy && now - this.startedAt > EXCHANGE_MILLISECONDS) {
-      this.giveUp(now);
+    if (
+      this.isExchanging &&
+      now - this.startedAt > EXCHANGE_TIMEOUT_MILLISECONDS
+    ) {
+      this.abandon(now);
     }
-    if (this.isBusy || now < this.nextAt) {
+    if (this.isExchanging || now < this.nextPullAt) {
       return [];
     }
     if (this.transfer !== undefined && this.peer !== undefined) {
-      return [this.askForChunk(now, this.peer, this.transfer)];
+      return [this.requestChunk(now, this.peer, this.transfer)];
     }
-    const peer = this.ahead ?? this.startingPeer(random, isStarting);
+    const peer = this.ahead ?? this.selectStartupPeer(random, isStarting);
     this.ahead = undefined;
-    return peer === undefined ? [] : [this.askForRecords(now, peer)];
+    return peer === undefined ? [] : [this.requestRecords(now, peer)];
   }
 
   ended(now: number, reply: PeerReply | undefined): PullResult {
-    this.isBusy = false;
+    this.isExchanging = false;
     if (reply?.kind === 'records') {
       this.answered.add(this.peer?.box ?? '');
-      if (this.keeper.era === undefined || reply.era === this.keeper.era) {
+      if (this.replica.era === undefined || reply.era === this.replica.era) {
         this.beginTransfer(reply.snapshot);
-        if (reply.version > this.keeper.version && reply.records.length > 0) {
+        if (reply.version > this.replica.version && reply.records.length > 0) {
           this.ahead = this.peer;
         }
       }
@@ -110,11 +114,11 @@
       this.advanceTransfer();
       return {kind: 'snapshot-chunk', chunk: reply.chunk};
     }
-    this.giveUp(now);
+    this.abandon(now);
     return {kind: 'nothing'};
   }
 
-  private startingPeer(
+  private selectStartupPeer(
     random: RandomSource,
     isStarting: boolean,
   ): Member | undefined {
@@ -122,11 +126,11 @@
       return undefined;
     }
     const all = this.membership.reachable();
-    const fresh = all.filter(({box}) => !this.asked.has(box));
-    if (fresh.length === 0) {
+    const notAsked = all.filter(({box}) => !this.asked.has(box));
+    if (notAsked.length === 0) {
       this.asked.clear();
     }
-    const unanswered = fresh.filter(({box}) => !this.answered.has(box));
+    const unanswered = notAsked.filter(({box}) => !this.answered.has(box));
     const [peer] = sample(unanswered, 1, random);
     if (peer !== undefined) {
       this.asked.add(peer.box);
@@ -135,10 +139,10 @@
   }
 
   private beginTransfer(first: SnapshotChunk | undefined): void {
-    if (first === undefined || first.version <= this.keeper.version) {
+    if (first === undefined || first.version <= this.replica.version) {
       return;
     }
-    this.keeper.shelf.add(first);
+    this.replica.shelf.add(first);
     const {writer, count} = first;
     this.transfer = count > 1 ? {writer, count, next: 1} : undefined;
   }
@@ -155,18 +159,18 @@
     }
   }
 
-  private askForRecords(now: number, peer: Member): ControlAction {
+  private requestRecords(now: number, peer: Member): ControlAction {
     this.peer = peer;
     const request: PeerRequest = {
       kind: 'records',
-      version: this.keeper.version,
-      era: this.keeper.era,
+      version: this.replica.version,
+      era: this.replica.era,
       holders: this.holders.position,
     };
     return this.exchange(now, peer, request);
   }
 
-  private askForChunk(
+  private requestChunk(
     now: number,
     peer: Member,
     {writer, next}: Transfer,
@@ -184,16 +188,16 @@
     peer: Member,
     request: PeerRequest,
   ): ControlAction {
-    this.isBusy = true;
+    this.isExchanging = true;
     this.startedAt = now;
     this.serial += 1;
-    const token = `${TOKEN} ${this.serial}`;
+    const token = `${TOKEN_PREFIX} ${this.serial}`;
     return {kind: 'exchange', token, address: peer.peerAddress, request};
   }
 
-  private giveUp(now: number): void {
-    this.isBusy = false;
+  private abandon(now: number): void {
+    this.isExchanging = false;
     this.transfer = undefined;
-    this.nextAt = now + PAUSE_MILLISECONDS;
+    this.nextPullAt = now + RETRY_DELAY_MILLISECONDS;
   }
 }
--- a/packages/brain/src/control/peerServing.ts
+++ b/packages/brain/src/control/peerServing.ts
@@ -1,43 +1,42 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** What a node answers when another one asks for records, members or permits. */
+/** Answers requests of other nodes for records, members and permits. */
 
 import type {Membership} from '@lockpin/membership';
 import type {ConfigurationKeeper} from './configurationKeeper.js';
 import type {ControlAction, PeerReply, PeerRequest} from './controlMessages.js';
 import type {HolderRole} from './holderRole.js';
 
-/** Answers from what is known here. */
+/** Answers peer requests from this node's own state. */
 export class PeerServing {
   constructor(
     private readonly membership: Membership,
-    private readonly keeper: ConfigurationKeeper,
+    private readonly replica: ConfigurationKeeper,
     private readonly holders: HolderRole,
   ) {}
 
-  /** The answer to one request. */
   serve(now: number, token: string, request: PeerRequest): ControlAction {
     return {kind: 'reply', token, reply: this.replyTo(now, request)};
   }
 
   private replyTo(now: number, request: PeerRequest): PeerReply {
-    const {keeper, holders} = this;
+    const {replica, holders} = this;
     switch (request.kind) {
       case 'records':
         return {
           kind: 'records',
-          version: keeper.version,
-          era: keeper.era,
+          version: replica.version,
+          era: replica.era,
           ...this.recordsFor(request),
           holders: holders.entriesFrom(request.holders),
           holdersPosition: holders.position,
         };
       case 'snapshot-chunk':
-        return keeper.chunkReply(request.writer, request.index);
+        return replica.chunkReply(request.writer, request.index);
       case 'members':
         return {kind: 'members', members: this.membership.all()};
       case 'reports': {
         const {service, reports} = request;
-        const replies = holders.answer(now, keeper.state, service, reports);
+        const replies = holders.answer(now, replica.state, service, reports);
         return replies === undefined
           ? {kind: 'not-holder'}
           : {kind: 'reports', replies};
@@ -45,16 +44,16 @@
     }
   }
 
-  /** Records of another history would not follow on from what the asker has. */
+  /** Records of another era would not continue the requester's state. */
   private recordsFor({
     version,
     era,
   }: PeerRequest & {readonly kind: 'records'}): ReturnType<
     ConfigurationKeeper['recordsFor']
   > {
-    const isSameLog = era === undefined || era === this.keeper.era;
-    return isSameLog
-      ? this.keeper.recordsFor(version)
+    const isSameEra = era === undefined || era === this.replica.era;
+    return isSameEra
+      ? this.replica.recordsFor(version)
       : {records: [], snapshot: undefined};
   }
 }
--- a/packages/brain/src/control/publisher.ts
+++ b/packages/brain/src/control/publisher.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Changes that operators offered here and whose end is not known yet. */
+/** Publishes the changes that operators submit here. */
 
 import type {ConfigurationState} from '@lockpin/configuration';
 import {shapeProblems} from '@lockpin/configuration';
@@ -11,29 +11,29 @@
 } from './controlMessages.js';
 
 /** How long an operator waits for a change to be read back. */
-const PATIENCE_MILLISECONDS = 10_000;
+const PUBLISH_TIMEOUT_MILLISECONDS = 10_000;
 
-/** Appends that the log certainly did not take are tried again this often. */
-const MOST_APPENDS = 4;
+/** Limit of appends per change; only definite failures are retried. */
+const MAX_APPENDS = 4;
 const APPEND_RETRY_MILLISECONDS = 300;
 
-interface Pending {
+interface PendingChange {
   readonly change: ChangeRecord;
-  readonly offeredAt: number;
+  readonly submittedAt: number;
   appends: number;
   retryAt: number | undefined;
   mayBePublished: boolean;
 }
 
 /**
- * Appends each change once. When the confirmation is lost, the log is read
- * until the change shows up; it is never appended again, since the first
- * append may have taken effect.
+ * Appends each change once. If the confirmation is lost, the log is read until
+ * the change appears; it is never appended again, since the first append may
+ * have taken effect.
  */
 export class Publisher {
-  private readonly pending = new Map<string, Pending>();
+  private readonly pending = new Map<string, PendingChange>();
 
-  /** Whether a change here waits to be read back. */
+  /** Whether a change submitted here is yet to be read back. */
   get isWaiting(): boolean {
     return this.pending.size > 0;
   }
@@ -44,18 +44,18 @@
     change: ChangeRecord,
     isHeld: boolean,
   ): readonly ControlAction[] {
-    const early = settledEarly(state, change);
+    const early = earlySettlement(state, change);
     if (early !== undefined) {
-      return [settled(change.changeId, early)];
+      return [settleAction(change.changeId, early)];
     }
     this.pending.set(change.changeId, {
       change,
-      offeredAt: now,
+      submittedAt: now,
       appends: isHeld ? 0 : 1,
       retryAt: isHeld ? now : undefined,
       mayBePublished: !isHeld,
     });
-    return isHeld ? [] : [append(change)];
+    return isHeld ? [] : [appendAction(change)];
   }
 
   appendEnded(
@@ -68,7 +68,7 @@
       return [];
     }
     pending.mayBePublished = false;
-    if (pending.appends < MOST_APPENDS) {
+    if (pending.appends < MAX_APPENDS) {
       pending.retryAt = now + APPEND_RETRY_MILLISECONDS * pending.appends;
       return [];
     }
@@ -76,8 +76,9 @@
   }
 
   /**
-   * Settles what was read back, tries again and gives up. While appends are held, nothing
-   * new is written: a restored log takes first what it has lost, in its order.
+   * Settles changes that were read back, retries appends and times out. While
+   * appends are held, nothing new is written: the lost records of a restored
+   * log are rewritten first, in their order.
    */
   review(
     now: number,
@@ -89,8 +90,8 @@
       const outcome = state.outcomeOf(changeId);
       if (outcome !== undefined) {
         this.pending.delete(changeId);
-        actions.push(settled(changeId, {kind: 'outcome', outcome}));
-      } else if (now - pending.offeredAt > PATIENCE_MILLISECONDS) {
+        actions.push(settleAction(changeId, {kind: 'outcome', outcome}));
+      } else if (now - pending.submittedAt > PUBLISH_TIMEOUT_MILLISECONDS) {
         const known = pending.mayBePublished ? 'unknown' : 'not-published';
         actions.push(...this.fail(changeId, known));
       } else if (
@@ -101,7 +102,7 @@
         pending.retryAt = undefined;
         pending.appends += 1;
         pending.mayBePublished = true;
-        actions.push(append(pending.change));
+        actions.push(appendAction(pending.change));
       }
     }
     return actions;
@@ -113,12 +114,12 @@
   ): readonly ControlAction[] {
     this.pending.delete(changeId);
     const failure: ApiFailure = {kind: 'log-unavailable', outcome, changeId};
-    return [settled(changeId, {kind: 'failure', failure})];
+    return [settleAction(changeId, {kind: 'failure', failure})];
   }
 }
 
-/** What can be told without the log: bad shape, and a loss that is certain. */
-function settledEarly(
+/** Result known without the log: an invalid change or a certain conflict. */
+function earlySettlement(
   state: ConfigurationState,
   change: ChangeRecord,
 ): ChangeSettlement | undefined {
@@ -142,7 +143,7 @@
   return undefined;
 }
 
-function append(change: ChangeRecord): ControlAction {
+function appendAction(change: ChangeRecord): ControlAction {
   return {
     kind: 'append',
     token: change.changeId,
@@ -151,7 +152,7 @@
   };
 }
 
-function settled(
+function settleAction(
   changeId: string,
   settlement: ChangeSettlement,
 ): ControlAction {
--- a/packages/brain/src/control/pulledRecords.ts
+++ b/packages/brain/src/control/pulledRecords.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** What is made of what peers have sent. */
+/** Applies the results of pulls from peers. */
 
 import type {RandomSource} from '@lockpin/types';
 import type {ConfigurationKeeper} from './configurationKeeper.js';
@@ -8,15 +8,15 @@
 import type {LogFollower} from './logFollower.js';
 import type {PullResult} from './peerPuller.js';
 
-/** Folds records of the log that the own state was folded from, and no others. */
+/** Folds only records of the era that the local state was folded from. */
 export class PulledRecords {
   constructor(
-    private readonly keeper: ConfigurationKeeper,
+    private readonly replica: ConfigurationKeeper,
     private readonly holders: HolderRole,
     private readonly follower: LogFollower,
   ) {}
 
-  /** Takes in what one exchange has brought. */
+  /** Handles the result of one exchange. */
   take(
     now: number,
     random: RandomSource,
@@ -24,9 +24,9 @@
   ): readonly ControlAction[] {
     switch (pulled.kind) {
       case 'records':
-        return this.takeRecords(now, random, pulled.reply);
+        return this.handleRecords(now, random, pulled.reply);
       case 'snapshot-chunk':
-        return this.keeper.shelf.add(pulled.chunk)
+        return this.replica.shelf.add(pulled.chunk)
           ? this.follower.adoptSnapshot()
           : [];
       case 'nothing':
@@ -34,21 +34,23 @@
     }
   }
 
-  private takeRecords(
+  private handleRecords(
     now: number,
     random: RandomSource,
     reply: PeerReply & {readonly kind: 'records'},
   ): readonly ControlAction[] {
     const {holders, follower} = this;
-    const named = reply.holders.flatMap((entry) => holders.apply(entry));
+    const holderActions = reply.holders.flatMap((entry) =>
+      holders.apply(entry),
+    );
     holders.knownUpTo(reply.holdersPosition);
-    const {keeper} = this;
-    keeper.era ??= reply.records.length > 0 ? reply.era : undefined;
-    if (reply.era !== keeper.era) {
-      return named;
+    const {replica} = this;
+    replica.era ??= reply.records.length > 0 ? reply.era : undefined;
+    if (reply.era !== replica.era) {
+      return holderActions;
     }
     return [
-      ...named,
+      ...holderActions,
       ...(reply.snapshot === undefined ? [] : follower.adoptSnapshot()),
       ...follower.fold(now, random, reply.records),
     ];
--- a/packages/brain/src/control/reportRouter.ts
+++ b/packages/brain/src/control/reportRouter.ts
@@ -1,22 +1,22 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Sends guards' reports to the permit holders, and brings the replies back. */
+/** Routes guards' reports to the permit holders and returns the replies. */
 
 import type {GuardReport, HolderReply} from '@lockpin/floor';
 import type {ConfigurationKeeper} from './configurationKeeper.js';
 import type {ControlAction, PeerReply, PeerRequest} from './controlMessages.js';
 import type {HolderRole} from './holderRole.js';
 
-/** Reports under way are forgotten beyond this many. */
-const MOST_UNDER_WAY = 1000;
+/** Reports awaiting a reply; beyond this many, the oldest is dropped. */
+const MAX_PENDING_REPORTS = 1000;
 
-/** Answers at once when the permits are held here. */
+/** Answers reports locally when this node holds the permits. */
 export class ReportRouter {
   private serial = 0;
-  private readonly services = new Map<string, string>();
+  private readonly pendingServices = new Map<string, string>();
 
   constructor(
     private readonly box: string,
-    private readonly keeper: ConfigurationKeeper,
+    private readonly replica: ConfigurationKeeper,
     private readonly holders: HolderRole,
   ) {}
 
@@ -25,47 +25,47 @@
     service: string,
     reports: readonly GuardReport[],
   ): readonly ControlAction[] {
-    const {state} = this.keeper;
-    const own = this.holders.answer(now, state, service, reports);
-    if (own !== undefined) {
-      return passReplies(service, own);
+    const {state} = this.replica;
+    const localReplies = this.holders.answer(now, state, service, reports);
+    if (localReplies !== undefined) {
+      return replyActions(service, localReplies);
     }
     const holder = this.holders.holderOf(service);
     if (holder === undefined || holder.box === this.box) {
       return [];
     }
     const request: PeerRequest = {kind: 'reports', service, reports};
-    const token = this.remember(service);
+    const token = this.createToken(service);
     const address = holder.peerAddress;
     return [{kind: 'exchange', token, address, request}];
   }
 
-  /** Whether this token belongs to reports that were sent. */
+  /** Whether the token belongs to reports sent to another node. */
   owns(token: string): boolean {
-    return this.services.has(token);
+    return this.pendingServices.has(token);
   }
 
   ended(token: string, reply: PeerReply | undefined): readonly ControlAction[] {
-    const service = this.services.get(token);
-    this.services.delete(token);
+    const service = this.pendingServices.get(token);
+    this.pendingServices.delete(token);
     return service !== undefined && reply?.kind === 'reports'
-      ? passReplies(service, reply.replies)
+      ? replyActions(service, reply.replies)
       : [];
   }
 
-  private remember(service: string): string {
+  private createToken(service: string): string {
     this.serial += 1;
     const token = `report ${this.serial}`;
-    this.services.set(token, service);
-    if (this.services.size > MOST_UNDER_WAY) {
-      const oldest = this.services.keys().next().value;
-      this.services.delete(oldest as string);
+    this.pendingServices.set(token, service);
+    if (this.pendingServices.size > MAX_PENDING_REPORTS) {
+      const oldest = this.pendingServices.keys().next().value;
+      this.pendingServices.delete(oldest as string);
     }
     return token;
   }
 }
 
-function passReplies(
+function replyActions(
   service: string,
   replies: readonly HolderReply[],
 ): readonly ControlAction[] {
--- a/packages/brain/src/control/restoreKeeper.ts
+++ b/packages/brain/src/control/restoreKeeper.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** When a node folds a restored log anew, and when what came of it is in force. */
+/** Detects a restored log, and runs and completes the restore on this node. */
 
 import {isLogReader, isUsable} from '@lockpin/membership';
 import type {DatagramHeader, Membership} from '@lockpin/membership';
@@ -11,75 +11,76 @@
 import {timelineAction} from './timelineAction.js';
 
 /**
- * Nodes that do not read the log hear of a restore from those that do, mostly with the
- * same state; those that have another one read the log themselves within this time.
+ * Nodes that do not read the log learn of a restore from log readers, mostly
+ * with the same state. Nodes with a different state spread their own reads of
+ * the log over this time.
  */
 const SPREAD_MILLISECONDS = 10_000;
 
-/** A state that differs again after it was folded anew is not pressed. */
-const FOLD_ANEW_PAUSE_MILLISECONDS = 30_000;
+/** Minimum time between rebuilds, if the states still differ after one. */
+const REBUILD_INTERVAL_MILLISECONDS = 30_000;
 
-/** Nodes that do not read the log write after all that do. */
-const TURNS_OF_READERS = 10;
+/** Added to the rank of nodes that do not read the log: readers write first. */
+const NON_READER_RANK = 10;
 
-/** What a restore needs of its node. */
+/** Dependencies of the restore coordinator. */
 export interface RestoreKeeperParts {
   readonly membership: Membership;
   readonly keeper: ConfigurationKeeper;
   readonly isReader: () => boolean;
 }
 
-/** Knows the newest era of the log, and brings this node's state into it. */
+/** Tracks the newest era of the log and moves this node's state to it. */
 export class RestoreKeeper {
   private restore: LogRestore | undefined;
-  private newest: Era | undefined;
-  private beginAt = 0;
-  private foldAnewAfter = 0;
-  private count = 0;
+  private newestEra: Era | undefined;
+  private startAt = 0;
+  private nextRebuildAt = 0;
+  private completedCount = 0;
 
-  constructor(private readonly parts: RestoreKeeperParts) {}
+  constructor(private readonly dependencies: RestoreKeeperParts) {}
 
-  /** The restore under way; undefined where the state is of the newest era. */
+  /** The restore in progress, if any. */
   get current(): LogRestore | undefined {
     return this.restore;
   }
 
-  /** The log has a newer history than the one in force here. */
+  /** Whether the log has a newer era, or a restore is in progress. */
   get isPending(): boolean {
-    const {era} = this.parts.keeper;
+    const {era} = this.dependencies.keeper;
     const isBehind =
-      era !== undefined && this.newest !== undefined && this.newest > era;
+      era !== undefined && this.newestEra !== undefined && this.newestEra > era;
     return isBehind || this.restore !== undefined;
   }
 
-  /** Restores of the log that this process has been through. */
+  /** Number of log restores that this process has completed. */
   get restoreCount(): number {
-    return this.count;
+    return this.completedCount;
   }
 
-  /** An answer of the log tells its era; true for one of an earlier history. */
+  /** Records the era of a log response; true if it is of an earlier history. */
   isOutdated(now: number, era: Era): boolean {
-    const {keeper} = this.parts;
-    keeper.era ??= era;
-    this.heardOfEra(era, now);
-    return era < (this.newest ?? era);
+    const {keeper: replica} = this.dependencies;
+    replica.era ??= era;
+    this.recordEra(era, now);
+    return era < (this.newestEra ?? era);
   }
 
-  /** A peer tells what is in force there, and of which history. */
+  /** Handles the version and era in force on a peer. */
   peerHeard(
     now: number,
     random: RandomSource,
     {era, version, digest}: DatagramHeader,
   ): readonly ControlAction[] {
-    const {keeper, isReader} = this.parts;
-    if (keeper.era === undefined || era <= keeper.era) {
+    const {keeper: replica, isReader} = this.dependencies;
+    if (replica.era === undefined || era <= replica.era) {
       return [];
     }
-    if (era === (this.newest ?? era) && keeper.isSameAs(version, digest)) {
-      this.newest = era;
-      return this.sameState(era);
+    if (era === (this.newestEra ?? era) && replica.isSameAs(version, digest)) {
+      this.newestEra = era;
+      return this.adoptEra(era);
     }
-    this.heardOfEra(
+    this.recordEra(
       era,
       isReader() ? now : now + random() * SPREAD_MILLISECONDS,
     );
@@ -87,52 +88,55 @@
   }
 
   /**
-   * A node with the same log has another state: one of them went by a snapshot of a history
-   * that is gone. What was written in this era alone is trusted.
+   * Rebuilds the state after a node with the same log showed a different one:
+   * one of the two used a snapshot of a lost history. Only snapshots that were
+   * written in this era are trusted.
    */
   foldAnew(now: number): void {
-    const {era} = this.parts.keeper;
-    if (era !== undefined && !this.isPending && now >= this.foldAnewAfter) {
-      this.foldAnewAfter = now + FOLD_ANEW_PAUSE_MILLISECONDS;
-      this.begin(era, true);
+    const {era} = this.dependencies.keeper;
+    if (era !== undefined && !this.isPending && now >= this.nextRebuildAt) {
+      this.nextRebuildAt = now + REBUILD_INTERVAL_MILLISECONDS;
+      this.start(era, true);
     }
   }
 
-  /** Begins what is due, and goes on with what is under way. */
+  /** Starts a restore that is due and advances the one in progress. */
   tick(now: number): readonly ControlAction[] {
-    const {newest} = this;
-    const {era = newest} = this.parts.keeper;
+    const {newestEra} = this;
+    const {era = newestEra} = this.dependencies.keeper;
     const isBehind =
-      newest !== undefined && newest !== era && this.restore?.era !== newest;
-    if (isBehind && now >= this.beginAt) {
-      this.begin(newest, false);
+      newestEra !== undefined &&
+      newestEra !== era &&
+      this.restore?.era !== newestEra;
+    if (isBehind && now >= this.startAt) {
+      this.start(newestEra, false);
     }
     return this.restore?.tick(now) ?? [];
   }
 
-  private begin(era: Era, onlyThisEra: boolean): void {
+  private start(era: Era, onlyThisEra: boolean): void {
     this.restore = new LogRestore({
       era,
       onlyThisEra,
-      before: this.parts.keeper,
-      turn: () => this.turn(era),
+      before: this.dependencies.keeper,
+      turn: () => this.writerRank(era),
     });
   }
 
-  /** Puts the new state in force once it is complete; empty before. */
+  /** Puts the rebuilt state in force once complete; no actions before. */
   finish(now: number): readonly ControlAction[] {
     const {restore} = this;
     if (restore?.isComplete(now) !== true) {
       return [];
     }
-    const {keeper, membership} = this.parts;
-    const {successor, era, rewritten} = restore;
+    const {keeper: replica, membership} = this.dependencies;
+    const {successor: rebuilt, era, rewritten} = restore;
     const lost = restore.lostChanges();
-    const isSame = keeper.isSameAs(successor.version, successor.state.digest);
-    keeper.replaceBy(successor);
+    const isSame = replica.isSameAs(rebuilt.version, rebuilt.state.digest);
+    replica.replaceBy(rebuilt);
     this.restore = undefined;
-    this.count += 1;
-    const {version} = keeper;
+    this.completedCount += 1;
+    const {version} = replica;
     const detail = {era, version, rewritten, lost: lost.length};
     return [
       ...(isSame ? [] : [{kind: 'state-replaced'} as const]),
@@ -146,37 +150,37 @@
     ];
   }
 
-  private sameState(era: Era): readonly ControlAction[] {
-    const {keeper, membership} = this.parts;
-    keeper.era = era;
+  private adoptEra(era: Era): readonly ControlAction[] {
+    const {keeper: replica, membership} = this.dependencies;
+    replica.era = era;
     this.restore = undefined;
-    this.count += 1;
-    const detail = {era, version: keeper.version, rewritten: 0, lost: 0};
+    this.completedCount += 1;
+    const detail = {era, version: replica.version, rewritten: 0, lost: 0};
     return [timelineAction('log-restored', membership.own.box, detail)];
   }
 
-  private heardOfEra(era: Era, beginAt: number): void {
-    const {keeper} = this.parts;
-    if (era > Math.max(this.newest ?? 0, keeper.era ?? era)) {
-      this.newest = era;
-      this.beginAt = beginAt;
-    } else if (era === this.newest) {
-      this.beginAt = Math.min(this.beginAt, beginAt);
+  private recordEra(era: Era, startAt: number): void {
+    const {keeper: replica} = this.dependencies;
+    if (era > Math.max(this.newestEra ?? 0, replica.era ?? era)) {
+      this.newestEra = era;
+      this.startAt = startAt;
+    } else if (era === this.newestEra) {
+      this.startAt = Math.min(this.startAt, startAt);
     }
   }
 
-  /** Nodes that write again before this one what the log has lost. */
-  private turn(era: Era): number {
-    const {membership, isReader} = this.parts;
+  /** Number of nodes that rewrite lost records before this one. */
+  private writerRank(era: Era): number {
+    const {membership, isReader} = this.dependencies;
     const members = membership.all();
     const rank = (box: string): number => stableHash(`${era} ${box}`);
     const ownRank = rank(membership.own.box);
-    const before = members.filter(
+    const readersBefore = members.filter(
       (member) =>
         isUsable(member) &&
         rank(member.box) < ownRank &&
         isLogReader(member, members),
     ).length;
-    return isReader() ? before : TURNS_OF_READERS + before;
+    return isReader() ? readersBefore : NON_READER_RANK + readersBefore;
   }
 }
--- a/packages/brain/src/control/snapshotShelf.ts
+++ b/packages/brain/src/control/snapshotShelf.ts
@@ -1,55 +1,55 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** The newest whole snapshot seen, kept as it is to pass on. */
+/** Assembles snapshots from chunks and keeps the newest one for peers. */
 
 import type {SnapshotChunk} from '@lockpin/configuration';
 
-/** Snapshots that are being put together at the same time. */
-const MOST_PARTIAL = 8;
+/** Incomplete snapshots that are kept; beyond this, the oldest is dropped. */
+const MAX_INCOMPLETE_SNAPSHOTS = 8;
 
-/** Gathers chunks, in any order and from several writers. */
+/** Collects chunks, in any order and from several writers. */
 export class SnapshotShelf {
-  private readonly partial = new Map<string, Map<number, SnapshotChunk>>();
-  private whole: readonly SnapshotChunk[] = [];
+  private readonly incomplete = new Map<string, Map<number, SnapshotChunk>>();
+  private complete: readonly SnapshotChunk[] = [];
 
-  /** Version of the newest whole snapshot; -1 when there is none. */
+  /** Version of the newest complete snapshot; -1 if there is none. */
   get version(): number {
-    return this.whole[0]?.version ?? -1;
+    return this.complete[0]?.version ?? -1;
   }
 
   get chunks(): readonly SnapshotChunk[] {
-    return this.whole;
+    return this.complete;
   }
 
-  /** Adds a chunk; true when it completed a newer snapshot. */
+  /** Adds a chunk; true if it completed a newer snapshot. */
   add(chunk: SnapshotChunk): boolean {
     if (chunk.version <= this.version) {
       return false;
     }
-    const parts = this.partial.get(chunk.writer) ?? new Map();
-    this.partial.set(chunk.writer, parts.set(chunk.index, chunk));
+    const parts = this.incomplete.get(chunk.writer) ?? new Map();
+    this.incomplete.set(chunk.writer, parts.set(chunk.index, chunk));
     this.dropOldest();
     if (parts.size < chunk.count) {
       return false;
     }
-    this.partial.delete(chunk.writer);
-    this.whole = [...parts.values()].sort((a, b) => a.index - b.index);
+    this.incomplete.delete(chunk.writer);
+    this.complete = [...parts.values()].sort((a, b) => a.index - b.index);
     return true;
   }
 
-  /** Forgets a snapshot that turned out to be corrupt. */
+  /** Drops the complete snapshot after it was found to be corrupt. */
   discard(): void {
-    this.whole = [];
+    this.complete = [];
   }
 
   chunk(writer: string, index: number): SnapshotChunk | undefined {
-    const chunk = this.whole[index];
+    const chunk = this.complete[index];
     return chunk?.writer === writer ? chunk : undefined;
   }
 
   private dropOldest(): void {
-    if (this.partial.size > MOST_PARTIAL) {
-      const oldest = this.partial.keys().next().value;
-      this.partial.delete(oldest as string);
+    if (this.incomplete.size > MAX_INCOMPLETE_SNAPSHOTS) {
+      const oldest = this.incomplete.keys().next().value;
+      this.incomplete.delete(oldest as string);
     }
   }
 }
--- a/packages/brain/src/control/snapshotWriter.ts
+++ b/packages/brain/src/control/snapshotWriter.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** When a node writes a snapshot, so that one does and not all. */
+/** Decides when this node writes a snapshot, so that only one node does. */
 
 import {encodeSnapshot} from '@lockpin/configuration';
 import type {ConfigurationState} from '@lockpin/configuration';
@@ -11,25 +11,25 @@
 
 /** When a snapshot is due. */
 export interface SnapshotSettings {
-  /** Records after which a new one is due. */
+  /** Number of records after which a new snapshot is due. */
   readonly everyRecords: number;
-  /** Milliseconds after which it is written again even without changes. */
+  /** Milliseconds after which one is due even without changes. */
   readonly everyMilliseconds: number;
 }
 
-/** Milliseconds that each further node in line waits for those before it. */
-const TURN_MILLISECONDS = 5000;
+/** Delay per rank, so that lower-ranked nodes can write first. */
+const RANK_DELAY_MILLISECONDS = 5000;
 
-/** So many snapshots fit into what the log retains, so that one is always whole. */
+/** Snapshots within the retention of the log: one is always complete. */
 const SNAPSHOTS_IN_RETENTION = 3;
 
-/** After writing, time for the snapshot to be read back by everyone. */
-const COOL_DOWN_MILLISECONDS = 60_000;
+/** Minimum time between snapshots, so that all nodes can read the last one. */
+const MIN_INTERVAL_MILLISECONDS = 60_000;
 
 /**
- * Any node that reads the log may write. Each waits for its turn in an order
- * that depends on the version, and does not write when a snapshot has appeared
- * meanwhile. A node that does not read the stream could not see that one has.
+ * Any log reader may write. Each waits according to its rank, which depends on
+ * the version, and does not write if a snapshot has appeared in the meantime. A
+ * node that does not read the snapshots stream could not detect that.
  */
 export class SnapshotWriter {
   private dueSince: number | undefined;
@@ -38,10 +38,10 @@
   private lastSeenOffset = -1;
   private isNewestLost = false;
   private everyRecords: number;
-  private writing: ControlAction[] = [];
+  private pendingChunks: ControlAction[] = [];
   private isAppending = false;
   private serial = 0;
-  private nextBeginAt = 0;
+  private nextStartAt = 0;
 
   constructor(
     private readonly membership: Membership,
@@ -50,7 +50,7 @@
     this.everyRecords = settings.everyRecords;
   }
 
-  /** A whole snapshot was seen in the log; offset is that of its last chunk. */
+  /** Records a complete snapshot; offset is that of its last chunk in the log. */
   seen(now: number, version: number, offset: number): void {
     this.lastSeenVersion = Math.max(this.lastSeenVersion, version);
     this.lastSeenAt = now;
@@ -59,19 +59,20 @@
   }
 
   /**
-   * The log was restored: what was seen there may be gone, or be of a history that is. One
-   * of the new history is due, so that nobody has to go by an earlier one.
+   * Handles a restored log: known snapshots may be lost, or be of a lost
+   * history. A snapshot of the new history is due, so that no node has to use
+   * an earlier one.
    */
   logRestored(): void {
     this.lastSeenVersion = 0;
     this.lastSeenOffset = -1;
     this.isNewestLost = true;
-    this.nextBeginAt = 0;
+    this.nextStartAt = 0;
     this.dueSince = undefined;
-    this.writing = [];
+    this.pendingChunks = [];
   }
 
-  /** A read showed how many configuration records the log still keeps. */
+  /** Adapts to the number of configuration records that the log retains. */
   retentionSeen(first: number, next: number): void {
     this.everyRecords =
       first === 0
@@ -82,7 +83,7 @@
           );
   }
 
-  /** A read showed where the snapshots stream begins now. */
+  /** Handles the first offset that the snapshots stream retains. */
   snapshotsRetained(first: number): void {
     this.isNewestLost = first > this.lastSeenOffset;
   }
@@ -92,25 +93,28 @@
     state: ConfigurationState,
     era: Era,
   ): readonly ControlAction[] {
-    if (this.writing.length > 0 || this.isAppending) {
+    if (this.pendingChunks.length > 0 || this.isAppending) {
       return this.nextChunk();
     }
-    if (now < this.nextBeginAt || !this.isDue(now, state)) {
+    if (now < this.nextStartAt || !this.isDue(now, state)) {
       this.dueSince = undefined;
       return [];
     }
     this.dueSince ??= now;
-    if (now - this.dueSince < this.turn(state.version) * TURN_MILLISECONDS) {
+    if (
+      now - this.dueSince <
+      this.writerRank(state.version) * RANK_DELAY_MILLISECONDS
+    ) {
       return [];
     }
-    return this.begin(now, state, era);
+    return this.start(now, state, era);
   }
 
-  /** An append of a chunk ended; a failed one spoils the snapshot. */
+  /** Handles the result of a chunk append; a failed one aborts the snapshot. */
   appendEnded(wasConfirmed: boolean): readonly ControlAction[] {
     this.isAppending = false;
     if (!wasConfirmed) {
-      this.writing = [];
+      this.pendingChunks = [];
       return [];
     }
     return this.nextChunk();
@@ -129,12 +133,12 @@
     );
   }
 
-  private begin(
+  private start(
     now: number,
     state: ConfigurationState,
     era: Era,
   ): readonly ControlAction[] {
-    this.nextBeginAt = now + COOL_DOWN_MILLISECONDS;
+    this.nextStartAt = now + MIN_INTERVAL_MILLISECONDS;
     this.serial += 1;
     const {box, incarnation} = this.membership.own;
     const chunks = encodeSnapshot(
@@ -142,23 +146,23 @@
       `${box} ${incarnation} ${this.serial}`,
       era,
     );
-    this.writing = chunks.map((value) => ({
+    this.pendingChunks = chunks.map((value) => ({
       kind: 'append',
       token: 'snapshot',
       stream: 'snapshots',
       value,
     }));
-    const begun: ControlAction = {
+    const startEvent: ControlAction = {
       kind: 'timeline',
       event: 'snapshot-begun',
       subject: box,
       detail: {version: state.version, chunks: chunks.length},
     };
-    return [begun, ...this.nextChunk()];
+    return [startEvent, ...this.nextChunk()];
   }
 
   private nextChunk(): readonly ControlAction[] {
-    const next = this.isAppending ? undefined : this.writing.shift();
+    const next = this.isAppending ? undefined : this.pendingChunks.shift();
     if (next === undefined) {
       return [];
     }
@@ -166,8 +170,8 @@
     return [next];
   }
 
-  /** How many readers of the log come before this one at a version. */
-  private turn(version: number): number {
+  /** Number of log readers ranked before this one at a version. */
+  private writerRank(version: number): number {
     const epoch = Math.floor(version / this.everyRecords);
     const rank = (box: string): number => stableHash(`${epoch} ${box}`);
     const ownRank = rank(this.membership.own.box);
--- a/packages/brain/src/control/startPhase.ts
+++ b/packages/brain/src/control/startPhase.ts
@@ -1,7 +1,7 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** What a starting node still lacks before it may serve. */
+/** Determines what a starting node still needs before it can serve. */
 
-/** What is known while a node starts. */
+/** Progress of a starting node. */
 export interface StartFacts {
   readonly now: number;
   readonly startedAt: number;
@@ -15,43 +15,44 @@
   readonly version: number;
 }
 
-/** The steps of a start, in order. */
+/** The phases of a start, in order. */
 export type StartPhase =
   'asking-peers' | 'reading-snapshots' | 'reading-log' | 'ready';
 
-const PEER_PATIENCE_MILLISECONDS = 1500;
+const PEER_TIMEOUT_MILLISECONDS = 1500;
 
-/** Failed reads after which the log counts as away. */
-const FAILURES_THAT_MEAN_AWAY = 2;
+/** Consecutive failed reads after which the log counts as unreachable. */
+const FAILURES_UNTIL_UNREACHABLE = 2;
 
 /**
- * A node serves once it has read the log to its end; or, with the log away,
- * once peers have given it the newest version among them.
+ * A node serves once it has read the log to its end. While the log is
+ * unreachable, it serves once it has the newest version known to its peers.
  */
-export function startPhase(facts: StartFacts): StartPhase {
-  if (facts.logReadToTail) {
+export function startPhase(progress: StartFacts): StartPhase {
+  if (progress.logReadToTail) {
     return 'ready';
   }
-  if (isStillAskingPeers(facts)) {
+  if (isWaitingForPeers(progress)) {
     return 'asking-peers';
   }
   const snapshotsDone =
-    facts.snapshotsRead ||
-    facts.snapshotReadFailures >= FAILURES_THAT_MEAN_AWAY;
-  if (facts.version === 0 && !snapshotsDone) {
+    progress.snapshotsRead ||
+    progress.snapshotReadFailures >= FAILURES_UNTIL_UNREACHABLE;
+  if (progress.version === 0 && !snapshotsDone) {
     return 'reading-snapshots';
   }
-  const isLogAway = facts.logReadFailures >= FAILURES_THAT_MEAN_AWAY;
-  return isLogAway && facts.peersAnswered > 0 && facts.version > 0
+  const isLogUnreachable =
+    progress.logReadFailures >= FAILURES_UNTIL_UNREACHABLE;
+  return isLogUnreachable && progress.peersAnswered > 0 && progress.version > 0
     ? 'ready'
     : 'reading-log';
 }
 
-function isStillAskingPeers(facts: StartFacts): boolean {
-  const waited = facts.now - facts.startedAt;
+function isWaitingForPeers(progress: StartFacts): boolean {
+  const waited = progress.now - progress.startedAt;
   return (
-    facts.isTransferring ||
-    (facts.peersAnswered < facts.peersWanted &&
-      waited < PEER_PATIENCE_MILLISECONDS)
+    progress.isTransferring ||
+    (progress.peersAnswered < progress.peersWanted &&
+      waited < PEER_TIMEOUT_MILLISECONDS)
   );
 }
--- a/packages/brain/src/control/streamReader.ts
+++ b/packages/brain/src/control/streamReader.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** When to read one stream of the log, and from where. */
+/** Schedules the reads of one log stream and tracks its end. */
 
 import type {RandomSource} from '@lockpin/types';
 import type {
@@ -10,17 +10,17 @@
 
 /** How often a stream is read. */
 export interface ReadingPace {
-  /** Reads again at once and lets the log hold the answer. */
+  /** Reads again immediately, with long polling. */
   readonly isContinuous: boolean;
   /** Otherwise, milliseconds between reads. */
   readonly interval: number;
 }
 
 const LONG_POLL_MILLISECONDS = 10_000;
-const FIRST_BACKOFF_MILLISECONDS = 250;
-const LONGEST_BACKOFF_MILLISECONDS = 5000;
+const INITIAL_BACKOFF_MILLISECONDS = 250;
+const MAX_BACKOFF_MILLISECONDS = 5000;
 
-/** Reads one stream, one read at a time, backing off while the log is away. */
+/** Reads one stream, one read at a time; backs off after failed reads. */
 export class StreamReader {
   private isReading = false;
   private nextReadAt = 0;
@@ -34,40 +34,40 @@
     private readonly position: () => number,
   ) {}
 
-  /** Whether the end of the stream was seen since this process started. */
+  /** Whether the end of the stream was reached since this process started. */
   get hasReachedTail(): boolean {
     return this.reachedTail;
   }
 
-  /** Where the read under way, or the last one, began. */
+  /** Offset from which the current or last read started. */
   get readFrom(): number {
     return this.from;
   }
 
-  /** Reads that failed in a row. */
+  /** Number of consecutive failed reads. */
   get failureCount(): number {
     return this.failures;
   }
 
-  /** Another reader has read the stream to its end, up to the present position. */
+  /** Marks the stream as read to its end by another reader. */
   readToTailBy(now: number): void {
     this.reachedTail = true;
     this.nextReadAt = now;
   }
 
-  /** Something is expected in the stream: read as soon as possible. */
+  /** Reads as soon as possible, because a record is expected. */
   hurry(now: number): void {
     this.nextReadAt = Math.min(this.nextReadAt, now);
   }
 
-  tick(now: number, pace: ReadingPace): readonly ControlAction[] {
+  tick(now: number, schedule: ReadingPace): readonly ControlAction[] {
     if (this.isReading || now < this.nextReadAt) {
       return [];
     }
     this.isReading = true;
     this.from = this.position();
     const wait =
-      pace.isContinuous && this.reachedTail ? LONG_POLL_MILLISECONDS : 0;
+      schedule.isContinuous && this.reachedTail ? LONG_POLL_MILLISECONDS : 0;
     return [
       {
         kind: 'read-log',
@@ -78,12 +78,12 @@
     ];
   }
 
-  /** Notes how a read ended; its records are folded before this is called. */
+  /** Records the result of a read, after its records were folded. */
   ended(
     now: number,
     random: RandomSource,
     result: LogReadResult,
-    pace: ReadingPace,
+    schedule: ReadingPace,
   ): void {
     this.isReading = false;
     if (result.kind === 'unreachable') {
@@ -94,9 +94,9 @@
     this.failures = 0;
     if (result.kind === 'records' && this.position() >= result.next) {
       this.reachedTail = true;
-      this.nextReadAt = pace.isContinuous
+      this.nextReadAt = schedule.isContinuous
         ? now
-        : now + pace.interval * (0.5 + random());
+        : now + schedule.interval * (0.5 + random());
     } else {
       this.nextReadAt = now;
     }
@@ -104,9 +104,9 @@
 }
 
 function backoff(failures: number, random: RandomSource): number {
-  const longest = Math.min(
-    LONGEST_BACKOFF_MILLISECONDS,
-    FIRST_BACKOFF_MILLISECONDS * 2 ** (failures - 1),
+  const limit = Math.min(
+    MAX_BACKOFF_MILLISECONDS,
+    INITIAL_BACKOFF_MILLISECONDS * 2 ** (failures - 1),
   );
-  return longest * (0.5 + random() / 2);
+  return limit * (0.5 + random() / 2);
 }
--- a/packages/brain/src/control/streamRecords.ts
+++ b/packages/brain/src/control/streamRecords.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** What the streams of the log and their records mean. */
+/** Interprets the streams of the log and their records. */
 
 import type {FoldResult} from '@lockpin/configuration';
 import type {Fence} from '@lockpin/floor';
@@ -11,7 +11,7 @@
 import type {StartPhase} from './startPhase.js';
 import {timelineAction} from './timelineAction.js';
 
-/** The streams that are read in a phase of the start. */
+/** The streams to read in a phase of the start. */
 export function streamsOf(phase: StartPhase): readonly StreamName[] {
   switch (phase) {
     case 'asking-peers':
@@ -23,7 +23,7 @@
   }
 }
 
-/** What the time line tells of a folded record. */
+/** The timeline event for a folded record. */
 export function foldEvent(fold: FoldResult): ControlAction {
   const {outcome, changeId, author} = fold;
   const {version} = outcome;
@@ -31,7 +31,7 @@
   return timelineAction(`change-${outcome.kind}`, changeId, detail);
 }
 
-/** A claim of the permits; undefined for a record that is none. */
+/** Parses a claim of permits; undefined for any other record. */
 export function readHolder(
   fence: Fence,
   value: unknown,
--- a/packages/brain/src/control/timelineAction.ts
+++ b/packages/brain/src/control/timelineAction.ts
@@ -1,9 +1,9 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Makes the action that notes something in the time line. */
+/** Creates actions that add events to the timeline. */
 
 import type {ControlAction} from './controlMessages.js';
 
-/** An event for the time line. */
+/** The action that adds an event to the timeline. */
 export function timelineAction(
   event: string,
   subject: string,
--- a/packages/brain/src/control/versionNews.ts
+++ b/packages/brain/src/control/versionNews.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Who has which version in force, and telling the others of one's own. */
+/** Tracks the versions in force on other nodes and announces this node's. */
 
 import {sample} from '@lockpin/membership';
 import type {
@@ -13,53 +13,53 @@
 import type {ControlAction} from './controlMessages.js';
 import {timelineAction} from './timelineAction.js';
 
-/** Nodes told at once of new records; the rest hear of them from probes. */
-const NEWS_FAN_OUT = 4;
+/** Nodes notified directly of new records; others learn from probes. */
+const VERSION_FAN_OUT = 4;
 
-/** Nodes told at once that this one leaves. */
+/** Nodes notified directly that this one is leaving. */
 const LEAVING_FAN_OUT = 8;
 
-/** Nodes told at once that a watch has begun here; the rest by gossip. */
+/** Nodes notified directly that a watch starts or ends; others by gossip. */
 const WATCH_FAN_OUT = 32;
 
-/** Sends version news over datagrams and keeps what others say. */
+/** Announces versions in datagrams and records the versions of other nodes. */
 export class VersionNews {
-  /** Version that each box was last heard to have in force. */
+  /** Version that each box last reported in force. */
   readonly versionsInForce = new Map<string, number>();
 
   constructor(
     private readonly membership: Membership,
-    private readonly keeper: ConfigurationKeeper,
+    private readonly replica: ConfigurationKeeper,
     private readonly context: (now: number) => MembershipContext,
   ) {}
 
-  /** A new version is in force here: a few at random hear, and all that watch. */
+  /** Announces a new version to a random sample and to all watching nodes. */
   tellOfVersion(now: number, random: RandomSource): readonly ControlAction[] {
     const {box} = this.membership.own;
-    const {version} = this.keeper;
+    const {version} = this.replica;
     this.versionsInForce.set(box, version);
     const peers = this.membership.reachable();
-    const chosen = sample(peers, NEWS_FAN_OUT, random);
+    const chosen = sample(peers, VERSION_FAN_OUT, random);
     const watching = peers.filter(({isWatching}) => isWatching);
     return [
       {kind: 'in-force', box, version},
-      ...chosen.map((peer) => this.tell(now, peer, 'version-news')),
-      ...watching.map((peer) => this.tell(now, peer, 'in-force')),
+      ...chosen.map((peer) => this.notify(now, peer, 'version-news')),
+      ...watching.map((peer) => this.notify(now, peer, 'in-force')),
     ];
   }
 
-  /** A member that begins to watch hears at once what is in force here. */
+  /** Sends the version in force here to a member that starts to watch. */
   memberChanged(
     now: number,
     member: Member,
     before: Member | undefined,
   ): readonly ControlAction[] {
     return member.isWatching && !before?.isWatching
-      ? [this.tell(now, member, 'in-force')]
+      ? [this.notify(now, member, 'in-force')]
       : [];
   }
 
-  /** Watches have begun here, or the last has ended. */
+  /** Announces that watches have started here, or that the last has ended. */
   watchersCounted(
     now: number,
     random: RandomSource,
@@ -69,25 +69,28 @@
       return [];
     }
     this.membership.announce({isWatching});
-    return this.tellSome(now, random, WATCH_FAN_OUT);
+    return this.notifySample(now, random, WATCH_FAN_OUT);
   }
 
-  /** This node leaves. */
+  /** Announces that this node is leaving. */
   leave(now: number, random: RandomSource): readonly ControlAction[] {
     this.membership.announce({state: 'leaving'});
-    return this.tellSome(now, random, LEAVING_FAN_OUT);
+    return this.notifySample(now, random, LEAVING_FAN_OUT);
   }
 
-  /** Takes in what a datagram says of its sender's version. */
+  /** Handles the version and digest that a datagram carries. */
   received(datagram: Datagram): readonly ControlAction[] {
     const {from, version} = datagram;
     return [
-      ...this.noteInForce(from.box, version),
+      ...this.recordVersion(from.box, version),
       ...this.compareDigests(datagram),
     ];
   }
 
-  private noteInForce(box: string, version: number): readonly ControlAction[] {
+  private recordVersion(
+    box: string,
+    version: number,
+  ): readonly ControlAction[] {
     if (this.versionsInForce.get(box) === version) {
       return [];
     }
@@ -96,10 +99,10 @@
   }
 
   private compareDigests(datagram: Datagram): readonly ControlAction[] {
-    const {version, digest} = this.keeper.state;
-    const isSameLog = datagram.era === this.keeper.era;
+    const {version, digest} = this.replica.state;
+    const isSameEra = datagram.era === this.replica.era;
     if (
-      !isSameLog ||
+      !isSameEra ||
       datagram.version !== version ||
       datagram.digest === digest
     ) {
@@ -110,16 +113,16 @@
     return [timelineAction('digest-differs', box, detail)];
   }
 
-  private tellSome(
+  private notifySample(
     now: number,
     random: RandomSource,
-    most: number,
+    size: number,
   ): readonly ControlAction[] {
-    const told = sample(this.membership.reachable(), most, random);
-    return told.map((peer) => this.tell(now, peer, 'version-news'));
+    const recipients = sample(this.membership.reachable(), size, random);
+    return recipients.map((peer) => this.notify(now, peer, 'version-news'));
   }
 
-  private tell(
+  private notify(
     now: number,
     {peerAddress}: Member,
     kind: 'version-news' | 'in-force',
--- a/packages/configuration/src/__tests__/foldChange.test.ts
+++ b/packages/configuration/src/__tests__/foldChange.test.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** The reducer gives every node the same, and a lost race leaves nothing. */
+/** Tests that folding is deterministic and that conflicts have no effect. */
 
 import fc from 'fast-check';
 import {describe, expect, it} from 'vitest';
@@ -50,14 +50,14 @@
   }),
 );
 
-/** Something to race about. */
-const FIRST = {
+/** Initial resources for the later changes to conflict over. */
+const INITIAL = {
   changeId: 'first',
   writes: [
-    ...NAMES.map((name) => firstWrite('Customer', name, {})),
-    ...NAMES.map((name) => firstWrite('Service', `${name}/s`, {})),
+    ...NAMES.map((name) => initialWrite('Customer', name, {})),
+    ...NAMES.map((name) => initialWrite('Service', `${name}/s`, {})),
     ...['c/s/1', 'c/s/2', 'd/s/1'].map((name) =>
-      firstWrite('Upstream', name, {
+      initialWrite('Upstream', name, {
         address: '127.0.0.1:9',
         dataCentre: 'one',
         box: 'a',
@@ -67,7 +67,7 @@
   ],
 };
 
-function firstWrite(kind: string, name: string, spec: object) {
+function initialWrite(kind: string, name: string, spec: object) {
   return {operation: 'put', kind, name, basedOn: 0, spec};
 }
 
@@ -80,22 +80,22 @@
     {minLength: 15, maxLength: 60},
   )
   .map((changes) => {
-    const scratch = new ConfigurationState();
-    return [FIRST, ...changes].map((change, offset): LogRecord<unknown> => {
+    const generated = new ConfigurationState();
+    return [INITIAL, ...changes].map((change, offset): LogRecord<unknown> => {
       const writes = change.writes.map((each) => ({
         ...each,
         basedOn:
-          each.basedOn < 0 ? presentVersion(scratch, each) : each.basedOn,
+          each.basedOn < 0 ? currentVersion(generated, each) : each.basedOn,
       }));
       const value = {kind: 'change', author: 'test', ...change, writes};
       const record = {offset, value};
-      foldChange(scratch, record);
+      foldChange(generated, record);
       return record;
     });
   });
 
-/** Most writes are based on what is there; the others lose a race. */
-function presentVersion(
+/** Most writes are based on the current version; the others conflict. */
+function currentVersion(
   state: ConfigurationState,
   {kind, name}: {readonly kind: string; readonly name: string},
 ): number {
@@ -107,20 +107,20 @@
 }
 
 describe('foldChange', () => {
-  it('comes to the same by way of a snapshot taken anywhere', () => {
+  it('reaches the same state through a snapshot at any position', () => {
     fc.assert(
-      fc.property(records, fc.nat(), (all, cut) => {
-        const at = cut % all.length;
-        const straight = new ConfigurationState();
-        const first = new ConfigurationState();
-        all.forEach((record) => foldChange(straight, record));
-        all.slice(0, at).forEach((record) => foldChange(first, record));
-        const decoded = decodeSnapshot(encodeSnapshot(first, 'writer', 0));
+      fc.property(records, fc.nat(), (all, position) => {
+        const at = position % all.length;
+        const direct = new ConfigurationState();
+        const partial = new ConfigurationState();
+        all.forEach((record) => foldChange(direct, record));
+        all.slice(0, at).forEach((record) => foldChange(partial, record));
+        const decoded = decodeSnapshot(encodeSnapshot(partial, 'writer', 0));
         expect(decoded.ok).toBe(true);
         if (decoded.ok) {
           all.slice(at).forEach((record) => foldChange(decoded.value, record));
-          expect(digestOf(decoded.value)).toBe(digestOf(straight));
-          const views = [...straight.services()];
+          expect(digestOf(decoded.value)).toBe(digestOf(direct));
+          const views = [...direct.services()];
           expect([...decoded.value.services()]).toEqual(
             expect.arrayContaining(views),
           );
@@ -130,7 +130,7 @@
     );
   });
 
-  it('leaves nothing behind of a change that is refused or lost a race', () => {
+  it('leaves the state unchanged after a refused or conflicting change', () => {
     fc.assert(
       fc.property(records, (all) => {
         const state = new ConfigurationState();
@@ -147,7 +147,7 @@
     );
   });
 
-  it('never takes a service that was at its floor below it', () => {
+  it('never lowers a service to below its floor', () => {
     let drains = 0;
     fc.assert(
       fc.property(records, (all) => {
@@ -155,13 +155,15 @@
         const before = new Map<string, number>();
         for (const record of all) {
           const {effects} = foldChange(state, record);
-          const drained = effects.some(({kind}) => kind === 'Upstream');
+          const changedUpstreams = effects.some(
+            ({kind}) => kind === 'Upstream',
+          );
           for (const view of state.services()) {
             const slots = view.upstreams
               .filter(({spec}) => spec.state === 'in-service')
               .reduce((sum, {spec}) => sum + spec.slots, 0);
-            const was = before.get(view.name) ?? 0;
-            if (drained && slots < was) {
+            const previousSlots = before.get(view.name) ?? 0;
+            if (changedUpstreams && slots < previousSlots) {
               drains += 1;
               expect(slots).toBeGreaterThanOrEqual(
                 view.service.spec.floorSlots,
@@ -202,7 +204,7 @@
     expect(state.service('c/s')).toEqual(before);
   });
 
-  it('names the winner of a race', () => {
+  it('reports the winning change of a conflict', () => {
     const state = new ConfigurationState();
     const change = (changeId: string, weight: number) => ({
       kind: 'change',
@@ -230,7 +232,7 @@
     });
   });
 
-  it('takes a record that came twice as one', () => {
+  it('applies a repeated change only once', () => {
     const state = new ConfigurationState();
     const value = {
       kind: 'change',
--- a/packages/configuration/src/changeHistory.ts
+++ b/packages/configuration/src/changeHistory.ts
@@ -1,25 +1,25 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** The latest changes, so that a watch can resume where it stopped. */
+/** The most recent changes, so that a watch can resume where it stopped. */
 
 import type {FoldResult} from './foldChange.js';
 
 /** Changes kept for watches that resume. */
 export const HISTORY_LENGTH = 2000;
 
-/** An accepted change with the version that it made. */
+/** An accepted change with the version that it created. */
 export interface HistoryEntry {
   readonly version: number;
   readonly fold: FoldResult;
 }
 
-/** Keeps accepted changes in the order of their versions. */
+/** Stores accepted changes in the order of their versions. */
 export class ChangeHistory {
   private entries: HistoryEntry[] = [];
 
-  /** Starts after a state that was not folded here, such as a snapshot. */
+  /** Starts at the version of a state not folded here, such as a snapshot. */
   constructor(private oldest = 0) {}
 
-  /** A watch from a version below this has missed something. */
+  /** A watch from a version below this has missed changes. */
   get oldestResumable(): number {
     return this.oldest;
   }
@@ -35,7 +35,7 @@
     }
   }
 
-  /** Changes after a version, or undefined when some are forgotten. */
+  /** Changes after a version; undefined if some of them were dropped. */
   after(version: number): readonly HistoryEntry[] | undefined {
     if (version < this.oldest) {
       return undefined;
--- a/packages/configuration/src/configurationState.ts
+++ b/packages/configuration/src/configurationState.ts
@@ -11,19 +11,19 @@
 import {orderRoutes} from './serviceView.js';
 import type {ServiceView} from './serviceView.js';
 
-/** Changes whose outcome is remembered, so that a repeat is recognised. */
+/** Number of changes whose outcome is kept to recognise a repeated change. */
 export const REMEMBERED_CHANGES = 4096;
 
 const DIGEST_BYTES = 8;
 
-/** The change that removed a resource, so that a late writer is told. */
+/** The change that removed a resource, to report to a late writer. */
 export interface LastWriter {
   readonly changeId: string;
   readonly version: number;
 }
 
 /**
- * Holds every resource by kind and name. Only the fold writes to it; a
+ * Stores every resource by kind and name. Only the reducer writes to it; a
  * request keeps the ServiceView it started with.
  */
 export class ConfigurationState {
@@ -37,7 +37,7 @@
   private readonly outcomes = new Map<string, ChangeOutcome>();
   private digestBits = 0n;
 
-  /** A digest of all resources, the same wherever they are the same. */
+  /** Digest of all resources; equal for equal resources. */
   get digest(): string {
     return this.digestBits.toString(16).padStart(DIGEST_BYTES * 2, '0');
   }
@@ -50,7 +50,7 @@
     return this.resources.get(`${kind}:${name}`) as Resource<K> | undefined;
   }
 
-  /** Every resource; used for listing and snapshots. */
+  /** All resources, for listing and snapshots. */
   all(): IterableIterator<AnyResource> {
     return this.resources.values();
   }
@@ -73,7 +73,7 @@
     return this.servicesByBox.get(box) ?? new Set();
   }
 
-  /** How many resources name this one as their parent. */
+  /** Number of resources that have this one as their parent. */
   childCount(name: string): number {
     return this.childCounts.get(name) ?? 0;
   }
@@ -135,8 +135,8 @@
     before: AnyResource | undefined,
     after: AnyResource | undefined,
   ): void {
-    const either = after ?? before;
-    switch (either?.kind) {
+    const resource = after ?? before;
+    switch (resource?.kind) {
       case 'Service':
         this.indexService(
           before as Resource<'Service'> | undefined,
@@ -150,12 +150,12 @@
         );
         break;
       case 'Route':
-        this.replaceInView(either.name, (view) => ({
+        this.updateView(resource.name, (view) => ({
           ...view,
           routes: orderRoutes(
-            replaced(
-              byName(view.routes),
-              either.name,
+            replaceByName(
+              sortByName(view.routes),
+              resource.name,
               after as Resource<'Route'>,
             ),
           ),
@@ -194,9 +194,9 @@
   ): void {
     const name = (after ?? before)?.name ?? '';
     const service = parentName(name) ?? '';
-    this.replaceInView(name, (view) => ({
+    this.updateView(name, (view) => ({
       ...view,
-      upstreams: replaced(view.upstreams, name, after),
+      upstreams: replaceByName(view.upstreams, name, after),
     }));
     if (before !== undefined) {
       this.unindexBox(before.spec.box, service);
@@ -219,7 +219,7 @@
     }
   }
 
-  private replaceInView(
+  private updateView(
     name: string,
     change: (view: ServiceView) => ServiceView,
   ): void {
@@ -237,23 +237,23 @@
   return slash < 0 ? undefined : name.slice(0, slash);
 }
 
-function byName<T extends {readonly name: string}>(
+function sortByName<T extends {readonly name: string}>(
   items: readonly T[],
 ): readonly T[] {
   return [...items].sort((a, b) => (a.name < b.name ? -1 : 1));
 }
 
-/** The items in the order of their names, whatever way they came. */
-function replaced<T extends {readonly name: string}>(
+/** Inserts, replaces or removes an item; the items stay sorted by name. */
+function replaceByName<T extends {readonly name: string}>(
   items: readonly T[],
   name: string,
   item: T | undefined,
 ): readonly T[] {
   const at = items.findIndex((candidate) => candidate.name >= name);
   const index = at < 0 ? items.length : at;
-  const isThere = items[index]?.name === name;
+  const exists = items[index]?.name === name;
   const added = item === undefined ? [] : [item];
-  return items.toSpliced(index, isThere ? 1 : 0, ...added);
+  return items.toSpliced(index, exists ? 1 : 0, ...added);
 }
 
 function resourceDigest(resource: AnyResource): bigint {
--- a/packages/configuration/src/createWrite.ts
+++ b/packages/configuration/src/createWrite.ts
@@ -3,7 +3,7 @@
 
 import type {ResourceKind, Write} from '@lockpin/types';
 
-/** Writes a resource that is not there yet; defaults may be left out. */
+/** Creates the write of a new resource; fields with defaults are optional. */
 export function createWrite(
   kind: ResourceKind,
   name: string,
--- a/packages/configuration/src/foldChange.ts
+++ b/packages/configuration/src/foldChange.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** The reducer: every node makes the same of the same records. */
+/** The reducer, which is deterministic: equal records give equal states. */
 
 import type {
   AnyResource,
@@ -21,12 +21,12 @@
 import {inServiceSlots} from './serviceView.js';
 import type {ServiceView} from './serviceView.js';
 
-/** What a record did, for watchers and the time line. */
+/** The result of folding a record, for watches and the timeline. */
 export interface FoldResult {
   readonly changeId: string;
   readonly author: string;
   readonly outcome: ChangeOutcome;
-  /** The resources as they are now; undefined for a deleted one. */
+  /** The resources that the record changed. */
   readonly effects: readonly ChangeEffect[];
 }
 
@@ -39,8 +39,8 @@
 }
 
 /**
- * Folds one record into the state. The state's version moves past the record
- * whatever became of it; a refused or conflicting change leaves nothing else.
+ * Folds one record into the state. The state's version always advances past the
+ * record; a refused or conflicting change leaves all resources as they are.
  */
 export function foldChange(
   state: ConfigurationState,
@@ -50,16 +50,16 @@
   state.version = version;
   const change = record.value;
   if (!isChangeRecord(change)) {
-    return ignored(version);
+    return refuseRecord(version);
   }
-  const repeat = state.outcomeOf(change.changeId);
-  if (repeat !== undefined) {
-    return {...identity(change), outcome: repeat, effects: []};
+  const knownOutcome = state.outcomeOf(change.changeId);
+  if (knownOutcome !== undefined) {
+    return {...identity(change), outcome: knownOutcome, effects: []};
   }
   const outcome =
     refusal(version, shapeProblems(change)) ??
     findConflict(state, change, version) ??
-    applyWhole(state, change, version);
+    applyWrites(state, change, version);
   if (outcome.kind !== 'applied') {
     state.rememberOutcome(change.changeId, outcome);
     return {...identity(change), outcome, effects: []};
@@ -69,7 +69,7 @@
   return {...identity(change), outcome: accepted, effects: outcome.effects};
 }
 
-type Applied = {
+type AppliedWrites = {
   readonly kind: 'applied';
   readonly effects: readonly ChangeEffect[];
 };
@@ -81,7 +81,7 @@
   return {changeId: change.changeId, author: change.author};
 }
 
-function ignored(version: number): FoldResult {
+function refuseRecord(version: number): FoldResult {
   const problem = {field: 'kind', problem: 'not a change record'};
   return {
     changeId: '',
@@ -111,7 +111,7 @@
     : {kind: 'refused', version, problems};
 }
 
-/** Problems that can be seen without knowing the state. */
+/** Problems of a change that can be found without the state. */
 export function shapeProblems(change: ChangeRecord): readonly FieldProblem[] {
   const {writes} = change;
   if (writes.length === 0 || writes.length > RESOURCE_LIMITS.writesPerChange) {
@@ -133,12 +133,12 @@
   if (!Number.isSafeInteger(write.basedOn) || write.basedOn < 0) {
     return [{field: 'basedOn', problem: 'give the version it is based on'}];
   }
-  const names = checkName(write.kind, write.name);
+  const nameProblems = checkName(write.kind, write.name);
   if (write.operation === 'delete') {
-    return names;
+    return nameProblems;
   }
   const checked = checkSpec(write.kind, write.spec);
-  return checked.ok ? names : [...names, ...checked.failure];
+  return checked.ok ? nameProblems : [...nameProblems, ...checked.failure];
 }
 
 function findConflict(
@@ -172,18 +172,18 @@
   return '';
 }
 
-function applyWhole(
+function applyWrites(
   state: ConfigurationState,
   change: ChangeRecord,
   version: number,
-): ChangeOutcome | Applied {
+): ChangeOutcome | AppliedWrites {
   const services = touchedServices(state, change);
   const effects: ChangeEffect[] = [];
   const problems: FieldProblem[] = [];
   for (const write of orderWrites(change.writes)) {
-    const missing = referenceProblems(state, write);
-    problems.push(...missing);
-    if (missing.length === 0) {
+    const unresolved = referenceProblems(state, write);
+    problems.push(...unresolved);
+    if (unresolved.length === 0) {
       effects.push(applyWrite(state, write, version));
     }
   }
@@ -197,7 +197,7 @@
   return {kind: 'refused', version, problems};
 }
 
-/** Parents are put before children, and children deleted before parents. */
+/** Puts parents before children, and deletes children before parents. */
 function orderWrites(writes: readonly Write[]): readonly Write[] {
   const depth = (write: Write): number => write.name.split('/').length;
   const puts = writes.filter(({operation}) => operation === 'put');
@@ -217,7 +217,7 @@
   if (operation === 'delete') {
     const isParent = kind === 'Customer' || kind === 'Service';
     return isParent && state.childCount(name) > 0
-      ? [{field, problem: 'delete what belongs to it first'}]
+      ? [{field, problem: 'delete the resources that belong to it first'}]
       : [];
   }
   const parent = parentName(name);
@@ -233,10 +233,10 @@
   write: Write & {readonly operation: 'put'},
 ): readonly FieldProblem[] {
   const {host = ''} = write.spec as {readonly host?: string};
-  const holder = host === '' ? undefined : state.serviceByHost(host);
-  return holder === undefined || holder.name === write.name
+  const owner = host === '' ? undefined : state.serviceByHost(host);
+  return owner === undefined || owner.name === write.name
     ? []
-    : [{field: 'spec.host', problem: 'another service has this host'}];
+    : [{field: 'spec.host', problem: 'this host belongs to another service'}];
 }
 
 function applyWrite(
@@ -278,20 +278,20 @@
   });
 }
 
-/** No drain or deletion may take a service that was above its floor below it. */
+/** A change must not lower the slots of a service to below its floor. */
 function floorProblems(
   state: ConfigurationState,
   before: readonly ServiceView[],
 ): readonly FieldProblem[] {
   return before.flatMap((view) => {
-    const now = state.service(view.name);
-    if (now === undefined) {
+    const current = state.service(view.name);
+    if (current === undefined) {
       return [];
     }
-    const floor = now.service.spec.floorSlots;
-    const left = inServiceSlots(now);
-    const broken = left < floor && left < inServiceSlots(view);
-    const problem = `leaves ${left} slots in service, below the floor of ${floor}; lower floorSlots first if that is meant`;
-    return broken ? [{field: `Service ${view.name}`, problem}] : [];
+    const floor = current.service.spec.floorSlots;
+    const remaining = inServiceSlots(current);
+    const isBelowFloor = remaining < floor && remaining < inServiceSlots(view);
+    const problem = `leaves ${remaining} slots in service, below the floor of ${floor}; lower floorSlots first if this is intended`;
+    return isBelowFloor ? [{field: `Service ${view.name}`, problem}] : [];
   });
 }
--- a/packages/configuration/src/schemas.ts
+++ b/packages/configuration/src/schemas.ts
@@ -11,7 +11,7 @@
 } from '@lockpin/types';
 import {failure, success} from '@lockpin/utils';
 
-/** Limits that the schemas state; see docs/reference/resources.md. */
+/** Limits that the schemas enforce; see docs/reference/resources.md. */
 export const RESOURCE_LIMITS = {
   nameLength: 63,
   slotsPerUpstream: 1024,
@@ -111,17 +111,17 @@
   Route: 3,
 };
 
-/** All kinds in the order in which they depend on one another. */
+/** All kinds in the order of their dependencies. */
 export const RESOURCE_KINDS = Object.keys(nameParts).sort(
   (a, b) => nameParts[a as ResourceKind] - nameParts[b as ResourceKind],
 ) as readonly ResourceKind[];
 
-/** Whether a text names a kind of resource. */
+/** Whether a string is the name of a resource kind. */
 export function isResourceKind(text: string): text is ResourceKind {
   return text in nameParts;
 }
 
-/** Checks a name against what its kind requires. */
+/** Validates a name against the format that its kind requires. */
 export function checkName(
   kind: ResourceKind,
   name: string,
@@ -144,7 +144,7 @@
   });
 }
 
-/** Fills in defaults and checks a spec; each problem names its field. */
+/** Fills in defaults and validates a spec; each problem names its field. */
 export function checkSpec<K extends ResourceKind>(
   kind: K,
   spec: unknown,
--- a/packages/configuration/src/serviceView.ts
+++ b/packages/configuration/src/serviceView.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** What a request sees of a service: one version, never changed in place. */
+/** An immutable view of a service at one version, for a request to use. */
 
 import type {Resource, RouteSpec} from '@lockpin/types';
 
@@ -9,11 +9,11 @@
   readonly customer: string;
   readonly service: Resource<'Service'>;
   readonly upstreams: readonly Resource<'Upstream'>[];
-  /** Longest path first, so that the first match is the closest. */
+  /** Longest path first, so that the first match is the most specific. */
   readonly routes: readonly Resource<'Route'>[];
 }
 
-/** Puts the routes in the order in which they are tried. */
+/** Sorts the routes into the order in which they are matched. */
 export function orderRoutes(
   routes: readonly Resource<'Route'>[],
 ): readonly Resource<'Route'>[] {
@@ -25,16 +25,16 @@
   );
 }
 
-/** The rules for a call, or undefined when no route covers it. */
+/** The route that matches a call, or undefined if none does. */
 export function findRoute(
   view: ServiceView,
   method: string,
   path: string,
 ): Resource<'Route'> | undefined {
-  return view.routes.find(({spec}) => routeCovers(spec, method, path));
+  return view.routes.find(({spec}) => routeMatches(spec, method, path));
 }
 
-function routeCovers(spec: RouteSpec, method: string, path: string): boolean {
+function routeMatches(spec: RouteSpec, method: string, path: string): boolean {
   if (spec.method !== '*' && spec.method !== method) {
     return false;
   }
@@ -46,7 +46,7 @@
   return prefix.endsWith('/') || next === '' || next === '/' || next === '?';
 }
 
-/** Slots of the service that are meant to take new work. */
+/** Total slots of the upstreams that accept new work. */
 export function inServiceSlots(view: ServiceView): number {
   return view.upstreams
     .filter(({spec}) => spec.state === 'in-service')
--- a/packages/configuration/src/snapshot.ts
+++ b/packages/configuration/src/snapshot.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** A whole state cut into checksummed chunks, and put together again. */
+/** Encodes a state as chunks with checksums, and decodes it. */
 
 import {deflateRawSync, inflateRawSync} from 'node:zlib';
 import type {AnyResource, ChangeOutcome, Era, Result} from '@lockpin/types';
@@ -9,20 +9,20 @@
 /** Bytes of compressed state in one chunk. */
 export const SNAPSHOT_CHUNK_BYTES = 48 * 1024;
 
-/** One part of a snapshot, as it stands in the log or passes between peers. */
+/** One part of a snapshot, as stored in the log or sent between peers. */
 export interface SnapshotChunk {
   readonly kind: 'snapshot-chunk';
   /** Distinguishes the snapshots of several writers at one version. */
   readonly writer: string;
-  /** Version the snapshot stands at. */
+  /** Version of the state in the snapshot. */
   readonly version: number;
   /** Era of the log that the state was folded from. */
   readonly era: Era;
-  /** Digest of the state, by which equal snapshots are known as equal. */
+  /** Digest of the state; equal snapshots have equal digests. */
   readonly digest: string;
   readonly index: number;
   readonly count: number;
-  /** SHA-256 of the data below. */
+  /** SHA-256 of the compressed bytes. */
   readonly checksum: string;
   /** Compressed bytes in base64. */
   readonly data: string;
@@ -40,7 +40,7 @@
   readonly outcomes: readonly (readonly [string, ChangeOutcome])[];
 }
 
-/** Cuts the state into chunks that can be told apart and checked. */
+/** Splits the state into chunks that can be identified and verified. */
 export function encodeSnapshot(
   state: ConfigurationState,
   writer: string,
@@ -70,7 +70,7 @@
   });
 }
 
-/** Puts a snapshot together, or says what is wrong with it. */
+/** Assembles and verifies a snapshot, or returns why it is unusable. */
 export function decodeSnapshot(
   chunks: readonly SnapshotChunk[],
 ): Result<ConfigurationState, SnapshotFailure> {
@@ -88,7 +88,7 @@
     parts.push(part);
   }
   const expected = chunks[0]?.digest ?? '';
-  const state = rebuild(Buffer.concat(parts));
+  const state = decodeState(Buffer.concat(parts));
   if (state === undefined) {
     return failure({kind: 'chunk-corrupt', index: 0});
   }
@@ -97,8 +97,8 @@
     : failure({kind: 'digest-differs', found: state.digest});
 }
 
-function rebuild(bytes: Buffer): ConfigurationState | undefined {
-  const content = inflate(bytes);
+function decodeState(bytes: Buffer): ConfigurationState | undefined {
+  const content = decompress(bytes);
   if (content === undefined) {
     return undefined;
   }
@@ -114,7 +114,7 @@
   return state;
 }
 
-function inflate(bytes: Buffer): SnapshotContent | undefined {
+function decompress(bytes: Buffer): SnapshotContent | undefined {
   try {
     return JSON.parse(inflateRawSync(bytes).toString('utf8'));
   } catch {
--- a/packages/membership/src/__tests__/membership.test.ts
+++ b/packages/membership/src/__tests__/membership.test.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** The failure detector on a virtual clock. */
+/** Tests of the failure detector on a virtual clock. */
 
 import {describe, expect, it} from 'vitest';
 import {seededRandom} from '@lockpin/utils';
@@ -29,10 +29,10 @@
   };
 }
 
-/** Nodes whose datagrams arrive at once, unless they are cut. */
-class Ring {
+/** Simulated nodes; datagrams arrive immediately unless `canReach` is false. */
+class Cluster {
   now = 0;
-  reaches: (from: string, to: string) => boolean = () => true;
+  canReach: (from: string, to: string) => boolean = () => true;
   readonly nodes = new Map<string, Membership>();
   private readonly random = seededRandom(1);
 
@@ -60,7 +60,7 @@
 
   private perform(from: string, actions: readonly MembershipAction[]): void {
     for (const action of actions) {
-      if (action.kind === 'send' && this.reaches(from, action.address)) {
+      if (action.kind === 'send' && this.canReach(from, action.address)) {
         this.deliver(action.address, action.datagram);
       }
     }
@@ -75,71 +75,71 @@
 }
 
 describe('Membership', () => {
-  it('finds a node that vanished, everywhere', () => {
-    const ring = new Ring(8);
-    ring.run(5000);
-    ring.nodes.delete('box-3');
-    ring.run(40_000);
-    for (const box of ring.nodes.keys()) {
-      expect(ring.state(box, 'box-3')).toBe('dead');
+  it('detects a failed node on every other node', () => {
+    const cluster = new Cluster(8);
+    cluster.run(5000);
+    cluster.nodes.delete('box-3');
+    cluster.run(40_000);
+    for (const box of cluster.nodes.keys()) {
+      expect(cluster.state(box, 'box-3')).toBe('dead');
     }
   });
 
-  it('keeps a node that one other cannot reach', () => {
-    const ring = new Ring(8);
-    ring.run(5000);
-    ring.reaches = (from, to) => !(from === 'box-0' && to === 'box-1');
-    ring.run(120_000);
-    for (const box of ring.nodes.keys()) {
-      expect(ring.state(box, 'box-1')).not.toBe('dead');
+  it('keeps a node that a single other node cannot reach', () => {
+    const cluster = new Cluster(8);
+    cluster.run(5000);
+    cluster.canReach = (from, to) => !(from === 'box-0' && to === 'box-1');
+    cluster.run(120_000);
+    for (const box of cluster.nodes.keys()) {
+      expect(cluster.state(box, 'box-1')).not.toBe('dead');
     }
   });
 
-  it('keeps a node whose own datagrams reach only a few', () => {
-    const ring = new Ring(8);
-    ring.run(5000);
+  it('keeps a node whose datagrams reach only some nodes', () => {
+    const cluster = new Cluster(8);
+    cluster.run(5000);
     const heardBy = new Set(['box-2', 'box-3', 'box-4', 'box-5']);
-    ring.reaches = (from, to) => from !== 'box-1' || heardBy.has(to);
-    ring.run(120_000);
-    expect(ring.state('box-2', 'box-1')).not.toBe('dead');
+    cluster.canReach = (from, to) => from !== 'box-1' || heardBy.has(to);
+    cluster.run(120_000);
+    expect(cluster.state('box-2', 'box-1')).not.toBe('dead');
   });
 
-  it('joins the two sides of a cut again once it heals', () => {
-    const ring = new Ring(8);
-    ring.run(5000);
+  it('merges the two sides of a partition once it heals', () => {
+    const cluster = new Cluster(8);
+    cluster.run(5000);
     const side = (box: string): number => Number(box.slice(4)) % 2;
-    ring.reaches = (from, to) => side(from) === side(to);
-    ring.run(120_000);
-    expect(ring.state('box-0', 'box-1')).toBe('dead');
-    ring.reaches = () => true;
-    ring.run(120_000);
-    for (const observer of ring.nodes.keys()) {
-      for (const box of ring.nodes.keys()) {
-        expect(ring.state(observer, box)).toBe('alive');
+    cluster.canReach = (from, to) => side(from) === side(to);
+    cluster.run(120_000);
+    expect(cluster.state('box-0', 'box-1')).toBe('dead');
+    cluster.canReach = () => true;
+    cluster.run(120_000);
+    for (const observer of cluster.nodes.keys()) {
+      for (const box of cluster.nodes.keys()) {
+        expect(cluster.state(observer, box)).toBe('alive');
       }
     }
   });
 
-  it('believes a restarted process over news of the one before', () => {
-    const old: Member = {
+  it('prefers a restarted process to updates of its predecessor', () => {
+    const predecessor: Member = {
       ...identity(1, 'a'),
       state: 'dead',
       refutation: 9,
       isWatching: false,
     };
     const restarted: Member = {
-      ...old,
+      ...predecessor,
       incarnation: 'b',
       state: 'alive',
       refutation: 0,
     };
-    expect(supersedes(restarted, old)).toBe(true);
-    expect(supersedes(old, restarted)).toBe(false);
+    expect(supersedes(restarted, predecessor)).toBe(true);
+    expect(supersedes(predecessor, restarted)).toBe(false);
   });
 });
 
 describe('isLogReader', () => {
-  it('names three nodes of each data centre', () => {
+  it('selects three nodes of each data centre', () => {
     const members = Array.from({length: 20}, (_, i): Member => ({
       ...identity(i),
       state: 'alive',
--- a/packages/membership/src/datagrams.ts
+++ b/packages/membership/src/datagrams.ts
@@ -1,20 +1,20 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** The small messages that nodes exchange over UDP. */
+/** Datagrams that nodes exchange over UDP. */
 
 import type {Era, HybridTime, StreamPosition} from '@lockpin/types';
 import type {Member} from './member.js';
 
-/** What every datagram carries besides its purpose. */
+/** The fields that all datagrams have in common. */
 export interface DatagramHeader {
   readonly from: Member;
-  /** News of members, a few at a time. */
+  /** Updates of members, a bounded number per datagram. */
   readonly news: readonly Member[];
   /** Version in force at the sender, and the digest of its state. */
   readonly version: number;
   readonly digest: string;
   /** Era of the log that the sender's state was folded from. */
   readonly era: Era;
-  /** How far the sender knows the holders stream. */
+  /** Position up to which the sender knows the holders stream. */
   readonly holders: StreamPosition;
   readonly time: HybridTime;
 }
@@ -29,13 +29,13 @@
       readonly sequence: number;
       readonly target: string;
     }
-  /** Tells that the sender has folded new records. */
+  /** Announces that the sender has folded new records. */
   | {readonly kind: 'version-news'}
   /** Tells a watching node which version the sender has in force. */
   | {readonly kind: 'in-force'};
 
-/** A whole datagram. */
+/** A datagram with its header. */
 export type Datagram = DatagramHeader & DatagramBody;
 
-/** Members told of in one datagram, so that it fits one packet. */
+/** Member updates per datagram, limited so that it fits one packet. */
 export const NEWS_PER_DATAGRAM = 4;
--- a/packages/membership/src/logReaders.ts
+++ b/packages/membership/src/logReaders.ts
@@ -1,25 +1,25 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Which nodes read the log; the others hear of records from their peers. */
+/** Selects the nodes that read the log; the others get records from peers. */
 
 import {readerRank} from '@lockpin/utils';
 import {isUsable} from './member.js';
 import type {Member} from './member.js';
 
-/** Nodes of each data centre that read the log all the time. */
+/** Number of nodes in each data centre that read the log continuously. */
 export const READERS_PER_DATA_CENTRE = 3;
 
 /**
- * Whether a node is one of its data centre's readers. Nodes that disagree
- * about the members only make for more readers, or fewer for a while.
+ * Whether a node is one of its data centre's log readers. If nodes disagree
+ * about the members, there are only more or fewer readers for a while.
  */
 export function isLogReader(own: Member, members: readonly Member[]): boolean {
   const ownRank = readerRank(own.box);
-  const before = members.filter(
+  const rankedBefore = members.filter(
     (member) =>
       member.dataCentre === own.dataCentre &&
       member.box !== own.box &&
       isUsable(member) &&
       readerRank(member.box) < ownRank,
   );
-  return before.length < READERS_PER_DATA_CENTRE;
+  return rankedBefore.length < READERS_PER_DATA_CENTRE;
 }
--- a/packages/membership/src/member.ts
+++ b/packages/membership/src/member.ts
@@ -1,7 +1,7 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** A node as the other nodes know it. */
+/** A node as known to the other nodes. */
 
-/** What a node tells of itself; it does not change while its process lives. */
+/** Identity that a node announces; constant for the life of its process. */
 export interface MemberIdentity {
   readonly box: string;
   readonly dataCentre: string;
@@ -9,19 +9,19 @@
   readonly peerAddress: string;
   readonly callerAddress: string;
   readonly operatorAddress: string;
-  /** Distinguishes this process from others on the box; later ones sort after. */
+  /** Identifies this process on the box; later processes sort after it. */
   readonly incarnation: string;
 }
 
-/** What is believed of a node. */
+/** Liveness of a node, as seen by other nodes. */
 export type MemberState = 'alive' | 'suspect' | 'leaving' | 'dead';
 
-/** A node with what is believed of it; passed from node to node. */
+/** A node with its liveness; disseminated from node to node. */
 export interface Member extends MemberIdentity {
   readonly state: MemberState;
-  /** Raised by the node itself to refute a suspicion. */
+  /** Incremented by the node itself to refute a suspicion. */
   readonly refutation: number;
-  /** Whether it wants to hear which version each node has in force. */
+  /** Whether it wants to be notified of the version in force on each node. */
   readonly isWatching: boolean;
 }
 
@@ -32,18 +32,18 @@
   dead: 3,
 };
 
-/** Whether news of a member replaces what is known of it. */
-export function supersedes(news: Member, known: Member): boolean {
-  if (news.incarnation !== known.incarnation) {
-    return news.incarnation > known.incarnation;
+/** Whether an update of a member replaces its known state. */
+export function supersedes(update: Member, known: Member): boolean {
+  if (update.incarnation !== known.incarnation) {
+    return update.incarnation > known.incarnation;
   }
-  if (news.refutation !== known.refutation) {
-    return news.refutation > known.refutation;
+  if (update.refutation !== known.refutation) {
+    return update.refutation > known.refutation;
   }
-  return STATE_ORDER[news.state] > STATE_ORDER[known.state];
+  return STATE_ORDER[update.state] > STATE_ORDER[known.state];
 }
 
-/** Whether calls may be sent by way of a member. */
+/** Whether calls may be routed through a member. */
 export function isUsable(member: Member): boolean {
   return member.state === 'alive' || member.state === 'suspect';
 }
--- a/packages/membership/src/membership.ts
+++ b/packages/membership/src/membership.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** A failure detector on random probes, with suspicion that can be refuted. */
+/** A failure detector with random probes and suspicions that can be refuted. */
 
 import type {
   Era,
@@ -13,21 +13,21 @@
 import type {Member, MemberIdentity} from './member.js';
 import {NewsQueue} from './newsQueue.js';
 
-/** Times of the detector, in milliseconds. */
+/** Settings of the failure detector; times are in milliseconds. */
 export interface MembershipSettings {
   readonly probeInterval: number;
   readonly ackTimeout: number;
   /** Nodes asked to probe a target that did not answer. */
   readonly indirectProbes: number;
-  /** Suspicion lasts this long, per power of ten of the fleet. */
+  /** Time until a suspect is dead, per power of ten of the fleet size. */
   readonly suspicion: number;
-  /** Dead members are kept this long, so that old news cannot revive them. */
+  /** Retention of dead members, so that old updates cannot revive them. */
   readonly deadKept: number;
-  /** How often one dead member is probed, in case a cut has healed. */
+  /** Interval of probes to a dead member, in case a partition has healed. */
   readonly deadProbeInterval: number;
 }
 
-/** Chosen for the letter's size; see docs/CAPACITY.md. */
+/** Defaults for the expected fleet size; see docs/CAPACITY.md. */
 export const DEFAULT_MEMBERSHIP_SETTINGS: MembershipSettings = {
   probeInterval: 1000,
   ackTimeout: 300,
@@ -37,7 +37,7 @@
   deadProbeInterval: 5000,
 };
 
-/** What is told to the node with each datagram. */
+/** State of the node that is sent with each datagram. */
 export interface MembershipContext {
   readonly version: number;
   readonly digest: string;
@@ -47,7 +47,7 @@
   readonly time: HybridTime;
 }
 
-/** What the node must do. */
+/** An action that the failure detector requests. */
 export type MembershipAction =
   | {
       readonly kind: 'send';
@@ -71,24 +71,27 @@
   readonly sequence: number;
 }
 
-/** Missed answers raise this; it stretches timeouts when we ourselves are slow. */
-const MOST_SELF_DOUBT = 8;
+/**
+ * Limit of the score that missed answers raise. It extends the time-outs when
+ * this node itself is slow.
+ */
+const MAX_LOCAL_HEALTH_SCORE = 8;
 
-/** Knows which nodes are there; decides by datagrams and time alone. */
+/** Tracks the nodes of the fleet, driven only by datagrams and time. */
 export class Membership {
   private readonly members = new Map<string, Member>();
   private readonly changedAt = new Map<string, number>();
-  /** Boxes that are suspect or dead: the only ones whose time runs out. */
-  private readonly doubted = new Set<string>();
-  private readonly news = new NewsQueue();
+  /** Boxes that are suspect or dead, the only states that expire. */
+  private readonly suspectOrDead = new Set<string>();
+  private readonly updates = new NewsQueue();
   private readonly probes = new Map<number, Probe>();
   private readonly relays = new Map<number, Relay>();
-  private order: string[] = [];
+  private probeOrder: string[] = [];
   private self: Member;
   private sequence = 0;
   private nextProbeAt = 0;
   private nextDeadProbeAt = 0;
-  private selfDoubt = 0;
+  private localHealthScore = 0;
 
   constructor(
     identity: MemberIdentity,
@@ -111,19 +114,19 @@
     return this.members.get(box);
   }
 
-  /** Every member known, dead ones too. */
+  /** All known members, including dead ones. */
   all(): readonly Member[] {
     return [...this.members.values()];
   }
 
-  /** Members other than this node that can be talked to. */
+  /** Usable members other than this node. */
   reachable(): readonly Member[] {
     return this.all().filter(
       (member) => isUsable(member) && member.box !== this.self.box,
     );
   }
 
-  /** Announces a change of this node itself. */
+  /** Announces a change of this node's own state. */
   announce(change: {
     readonly state?: 'leaving';
     readonly isWatching?: boolean;
@@ -134,15 +137,15 @@
       refutation: this.self.refutation + 1,
     };
     this.members.set(this.self.box, this.self);
-    this.news.add(this.self);
+    this.updates.add(this.self);
   }
 
-  /** Takes in members learnt by other ways: the platform's list or a peer. */
-  learn(now: number, learnt: readonly Member[]): readonly MembershipAction[] {
-    return learnt.flatMap((member) => this.takeNews(now, member));
+  /** Adds members from other sources: the platform's list or a peer. */
+  learn(now: number, added: readonly Member[]): readonly MembershipAction[] {
+    return added.flatMap((member) => this.mergeMember(now, member));
   }
 
-  /** Time passed: probes, suspicions and forgetting. */
+  /** Sends probes, expires suspicions and removes dead members. */
   tick(
     now: number,
     random: RandomSource,
@@ -156,21 +159,21 @@
     ];
   }
 
-  /** Takes in a datagram. */
+  /** Merges the members of a datagram and answers it. */
   receive(
     now: number,
     datagram: Datagram,
     context: MembershipContext,
   ): readonly MembershipAction[] {
     const changes = [datagram.from, ...datagram.news].flatMap((member) =>
-      this.takeNews(now, member),
+      this.mergeMember(now, member),
     );
     return [...changes, ...this.answer(now, datagram, context)];
   }
 
-  /** Wraps a body for one receiver, with news on the way. */
+  /** Adds the header, with member updates to disseminate, to a body. */
   datagram(body: DatagramBody, context: MembershipContext): Datagram {
-    const news = this.news.take(NEWS_PER_DATAGRAM, this.members.size);
+    const news = this.updates.take(NEWS_PER_DATAGRAM, this.members.size);
     return {from: this.self, news, ...context, ...body};
   }
 
@@ -199,7 +202,7 @@
     context: MembershipContext,
   ): readonly MembershipAction[] {
     if (this.probes.delete(sequence)) {
-      this.selfDoubt = Math.max(0, this.selfDoubt - 1);
+      this.localHealthScore = Math.max(0, this.localHealthScore - 1);
     }
     const relay = this.relays.get(sequence);
     const requester = relay && this.members.get(relay.requester);
@@ -230,34 +233,37 @@
     ];
   }
 
-  private takeNews(now: number, news: Member): readonly MembershipAction[] {
-    if (news.box === this.self.box) {
-      this.refute(news);
+  private mergeMember(
+    now: number,
+    update: Member,
+  ): readonly MembershipAction[] {
+    if (update.box === this.self.box) {
+      this.refute(update);
       return [];
     }
-    const before = this.members.get(news.box);
-    if (before !== undefined && !supersedes(news, before)) {
+    const before = this.members.get(update.box);
+    if (before !== undefined && !supersedes(update, before)) {
       return [];
     }
-    this.members.set(news.box, news);
-    this.changedAt.set(news.box, now);
-    if (news.state === 'suspect' || news.state === 'dead') {
-      this.doubted.add(news.box);
+    this.members.set(update.box, update);
+    this.changedAt.set(update.box, now);
+    if (update.state === 'suspect' || update.state === 'dead') {
+      this.suspectOrDead.add(update.box);
     } else {
-      this.doubted.delete(news.box);
+      this.suspectOrDead.delete(update.box);
     }
-    this.news.add(news);
-    return [{kind: 'member-changed', member: news, before}];
+    this.updates.add(update);
+    return [{kind: 'member-changed', member: update, before}];
   }
 
-  /** Others believe us suspect or dead: say louder that we are here. */
-  private refute(news: Member): void {
-    const isOurs = news.incarnation === this.self.incarnation;
-    const isWrong = news.state === 'suspect' || news.state === 'dead';
-    if (isOurs && isWrong && news.refutation >= this.self.refutation) {
-      this.self = {...this.self, refutation: news.refutation + 1};
+  /** Refutes an update of this node as suspect or dead, by a higher number. */
+  private refute(update: Member): void {
+    const isOwn = update.incarnation === this.self.incarnation;
+    const isFailed = update.state === 'suspect' || update.state === 'dead';
+    if (isOwn && isFailed && update.refutation >= this.self.refutation) {
+      this.self = {...this.self, refutation: update.refutation + 1};
       this.members.set(this.self.box, this.self);
-      this.news.add(this.self);
+      this.updates.add(this.self);
     }
   }
 
@@ -267,71 +273,78 @@
     context: MembershipContext,
   ): readonly MembershipAction[] {
     const actions: MembershipAction[] = [];
-    const timeout = this.settings.ackTimeout * (1 + this.selfDoubt);
+    const timeout = this.settings.ackTimeout * (1 + this.localHealthScore);
     for (const [sequence, probe] of this.probes) {
       if (!probe.isIndirect && now - probe.sentAt >= timeout) {
         probe.isIndirect = true;
-        actions.push(...this.askOthers(sequence, probe, random, context));
+        actions.push(
+          ...this.requestIndirectProbes(sequence, probe, random, context),
+        );
       } else if (now - probe.sentAt >= timeout * 3) {
         this.probes.delete(sequence);
-        this.selfDoubt = Math.min(MOST_SELF_DOUBT, this.selfDoubt + 1);
-        actions.push(...this.mark(now, probe.target, 'alive', 'suspect'));
+        this.localHealthScore = Math.min(
+          MAX_LOCAL_HEALTH_SCORE,
+          this.localHealthScore + 1,
+        );
+        actions.push(...this.transition(now, probe.target, 'alive', 'suspect'));
       }
     }
     return actions;
   }
 
-  private askOthers(
+  private requestIndirectProbes(
     sequence: number,
     probe: Probe,
     random: RandomSource,
     context: MembershipContext,
   ): readonly MembershipAction[] {
-    const helpers = this.reachable().filter(({box}) => box !== probe.target);
-    const chosen = sample(helpers, this.settings.indirectProbes, random);
+    const candidates = this.reachable().filter(({box}) => box !== probe.target);
+    const chosen = sample(candidates, this.settings.indirectProbes, random);
     const body: DatagramBody = {
       kind: 'ping-request',
       sequence,
       target: probe.target,
     };
-    return chosen.map((helper) => this.send(helper, body, context));
+    return chosen.map((candidate) => this.send(candidate, body, context));
   }
 
   private expireSuspicions(now: number): readonly MembershipAction[] {
     const magnitude = Math.ceil(Math.log10(this.members.size + 1));
-    const patience =
-      this.settings.suspicion * magnitude * (1 + this.selfDoubt / 2);
+    const timeout =
+      this.settings.suspicion * magnitude * (1 + this.localHealthScore / 2);
     const actions: MembershipAction[] = [];
-    for (const member of this.doubtedMembers()) {
+    for (const member of this.suspectOrDeadMembers()) {
       const age = now - (this.changedAt.get(member.box) ?? now);
-      if (member.state === 'suspect' && age >= patience) {
-        actions.push(...this.mark(now, member.box, 'suspect', 'dead'));
+      if (member.state === 'suspect' && age >= timeout) {
+        actions.push(...this.transition(now, member.box, 'suspect', 'dead'));
       } else if (member.state === 'dead' && age >= this.settings.deadKept) {
         this.members.delete(member.box);
         this.changedAt.delete(member.box);
-        this.doubted.delete(member.box);
+        this.suspectOrDead.delete(member.box);
       }
     }
     return actions;
   }
 
-  private doubtedMembers(): readonly Member[] {
-    return [...this.doubted].flatMap((box) => this.members.get(box) ?? []);
+  private suspectOrDeadMembers(): readonly Member[] {
+    return [...this.suspectOrDead].flatMap(
+      (box) => this.members.get(box) ?? [],
+    );
   }
 
-  private mark(
+  private transition(
     now: number,
     box: string,
     from: Member['state'],
     to: Member['state'],
   ): readonly MembershipAction[] {
     const member = this.members.get(box);
-    const isLeavingDead = member?.state === 'leaving' && to === 'suspect';
-    if (member?.state !== from && !isLeavingDead) {
+    const hasFailedLeaving = member?.state === 'leaving' && to === 'suspect';
+    if (member?.state !== from && !hasFailedLeaving) {
       return [];
     }
-    const state = isLeavingDead ? 'dead' : to;
-    return this.takeNews(now, {...(member as Member), state});
+    const state = hasFailedLeaving ? 'dead' : to;
+    return this.mergeMember(now, {...(member as Member), state});
   }
 
   private probeNext(
@@ -348,15 +361,15 @@
   }
 
   private nextTarget(random: RandomSource): Member | undefined {
-    for (let tries = 0; tries <= this.members.size; tries += 1) {
-      if (this.order.length === 0) {
-        this.order = sample(
+    for (let attempts = 0; attempts <= this.members.size; attempts += 1) {
+      if (this.probeOrder.length === 0) {
+        this.probeOrder = sample(
           [...this.members.keys()],
           this.members.size,
           random,
         );
       }
-      const member = this.members.get(this.order.pop() ?? '');
+      const member = this.members.get(this.probeOrder.pop() ?? '');
       const isOther = member !== undefined && member.box !== this.self.box;
       if (isOther && member.state !== 'dead') {
         return member;
@@ -374,7 +387,9 @@
       return [];
     }
     this.nextDeadProbeAt = now + this.settings.deadProbeInterval;
-    const dead = this.doubtedMembers().filter(({state}) => state === 'dead');
+    const dead = this.suspectOrDeadMembers().filter(
+      ({state}) => state === 'dead',
+    );
     return sample(dead, 1, random).map((target) => {
       this.sequence += 1;
       const body: DatagramBody = {kind: 'ping', sequence: this.sequence};
@@ -396,7 +411,7 @@
     return this.send(target, {kind: 'ping', sequence: this.sequence}, context);
   }
 
-  /** A suspect or dead receiver is told so, that it may refute it. */
+  /** Tells a suspect or dead receiver its state, so that it can refute it. */
   private send(
     to: Member,
     body: DatagramBody,
@@ -404,8 +419,9 @@
   ): MembershipAction {
     const datagram = this.datagram(body, context);
     const known = this.members.get(to.box);
-    const isDoubted = known?.state === 'suspect' || known?.state === 'dead';
-    const news = isDoubted ? [known, ...datagram.news] : datagram.news;
+    const isSuspectOrDead =
+      known?.state === 'suspect' || known?.state === 'dead';
+    const news = isSuspectOrDead ? [known, ...datagram.news] : datagram.news;
     return {
       kind: 'send',
       address: to.peerAddress,
@@ -414,7 +430,7 @@
   }
 }
 
-/** Some items at random, in random order. */
+/** A random sample of the items, in random order. */
 export function sample<T>(
   items: readonly T[],
   size: number,
--- a/packages/membership/src/newsQueue.ts
+++ b/packages/membership/src/newsQueue.ts
@@ -1,34 +1,34 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** News of members that still has to be passed on. */
+/** Member updates that are still to be disseminated. */
 
 import type {Member} from './member.js';
 
-/** Times each piece of news is passed on, per power of ten of the fleet. */
-const PASSES_PER_MAGNITUDE = 4;
+/** Times each update is sent, per power of ten of the fleet size. */
+const SENDS_PER_MAGNITUDE = 4;
 
 interface Item {
   readonly member: Member;
-  passes: number;
+  sends: number;
 }
 
-/** Passes the newest and least passed news on first, a bounded number of times. */
+/** Sends the least-sent updates first, each a bounded number of times. */
 export class NewsQueue {
   private readonly items = new Map<string, Item>();
 
-  /** Adds news; older news of the same box is dropped. */
+  /** Adds an update, which replaces an older one of the same box. */
   add(member: Member): void {
-    this.items.set(member.box, {member, passes: 0});
+    this.items.set(member.box, {member, sends: 0});
   }
 
-  /** Takes up to a number of items to pass on once more. */
-  take(most: number, fleetSize: number): readonly Member[] {
-    const passes = PASSES_PER_MAGNITUDE * Math.ceil(Math.log10(fleetSize + 1));
+  /** Takes up to `limit` updates to send once more. */
+  take(limit: number, fleetSize: number): readonly Member[] {
+    const maxSends = SENDS_PER_MAGNITUDE * Math.ceil(Math.log10(fleetSize + 1));
     const chosen = [...this.items.values()]
-      .sort((a, b) => a.passes - b.passes)
-      .slice(0, most);
+      .sort((a, b) => a.sends - b.sends)
+      .slice(0, limit);
     for (const item of chosen) {
-      item.passes += 1;
-      if (item.passes >= passes) {
+      item.sends += 1;
+      if (item.sends >= maxSends) {
         this.items.delete(item.member.box);
       }
     }
