--- a/packages/configuration/src/foldChange.ts
+++ b/packages/configuration/src/foldChange.ts
@@ -217,7 +217,7 @@
   if (operation === 'delete') {
     const isParent = kind === 'Customer' || kind === 'Service';
     return isParent && state.childCount(name) > 0
-      ? [{field, problem: 'delete the resources that belong to it first'}]
+      ? [{field, problem: 'delete what belongs to it first'}]
       : [];
   }
   const parent = parentName(name);
@@ -236,7 +236,7 @@
   const owner = host === '' ? undefined : state.serviceByHost(host);
   return owner === undefined || owner.name === write.name
     ? []
-    : [{field: 'spec.host', problem: 'this host belongs to another service'}];
+    : [{field: 'spec.host', problem: 'another service has this host'}];
 }
 
 function applyWrite(
@@ -291,7 +291,7 @@
     const floor = current.service.spec.floorSlots;
     const remaining = inServiceSlots(current);
     const isBelowFloor = remaining < floor && remaining < inServiceSlots(view);
-    const problem = `leaves ${remaining} slots in service, below the floor of ${floor}; lower floorSlots first if this is intended`;
+    const problem = `leaves ${remaining} slots in service, below the floor of ${floor}; lower floorSlots first if that is meant`;
     return isBelowFloor ? [{field: `Service ${view.name}`, problem}] : [];
   });
 }
