--- a/packages/brain/src/guard/callCourse.ts
+++ b/packages/brain/src/guard/callCourse.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** The calls that a guard has accepted, their reservations and refusals. */
+/** Lifecycle of the calls that a guard has accepted. */
 
 import type {Freed} from '@lockpin/admission';
 import type {RefusalReason} from '@lockpin/types';
@@ -12,16 +12,16 @@
 import type {CallEnd, UpstreamGuard} from './upstreamGuard.js';
 import type {StandingChange} from './upstreamStanding.js';
 
-/** A call that was accepted and has not ended. */
+/** An accepted call that has not ended. */
 export interface KnownCall {
-  /** Its digest comes with the go where there is one. */
+  /** With a reservation, the request digest only arrives with the go. */
   call: GuardCall;
   readonly upstream: UpstreamGuard;
-  /** When its slot was reserved; undefined before, and once it was sent. */
+  /** When its slot was reserved; undefined before that and after sending. */
   reservedAt: number | undefined;
 }
 
-/** Follows calls while they wait, hold a slot, and give it to others. */
+/** Tracks calls while they wait or hold a slot, and passes freed slots on. */
 export class CallCourse {
   private readonly calls = new Map<string, KnownCall>();
 
@@ -31,24 +31,24 @@
     private readonly settings: GuardSettings,
   ) {}
 
-  /** Calls accepted and not yet ended. */
+  /** Number of accepted calls that have not ended. */
   get count(): number {
     return this.calls.size;
   }
 
-  /** The call, while it has not ended. */
+  /** The accepted call; undefined once it has ended. */
   get(callId: string): KnownCall | undefined {
     return this.calls.get(callId);
   }
 
-  /** A call is accepted. */
+  /** Adds an accepted call. */
   add(call: GuardCall, upstream: UpstreamGuard): KnownCall {
     const known: KnownCall = {call, upstream, reservedAt: undefined};
     this.calls.set(call.id, known);
     return known;
   }
 
-  /** The call has not run and, once refused, never will under its key. */
+  /** Refuses a call that has not run; its once key can never run it later. */
   refuseForGood(
     now: number,
     call: GuardCall,
@@ -60,7 +60,7 @@
     return refuse(now, call, reason, 'not-run', upstream, retryAfter);
   }
 
-  /** A call that has not run is refused; nothing when it has already ended. */
+  /** Refuses a waiting call; no action if it has already ended. */
   refuseWaiting(
     now: number,
     callId: string,
@@ -73,14 +73,14 @@
     return [this.refuseForGood(now, known.call, known.upstream, reason)];
   }
 
-  /** Takes out a call that has ended; undefined when it already had. */
+  /** Removes a call that has ended; undefined if it was removed before. */
   take(callId: string): KnownCall | undefined {
     const known = this.calls.get(callId);
     this.calls.delete(callId);
     return known;
   }
 
-  /** A call has its slot: it runs, or the slot is kept until the entry says go. */
+  /** Sends a call that got its slot, or reserves the slot until its go. */
   run(now: number, known: KnownCall): readonly GuardAction[] {
     if (known.call.needsGo === true) {
       known.reservedAt = now;
@@ -89,7 +89,10 @@
     return this.send(now, known);
   }
 
-  /** The call goes to its upstream, or gives its slot back where nothing pays. */
+  /**
+   * Sends the call to its upstream. A quarantined request, or a retry beyond
+   * the retry budget, releases its slot instead.
+   */
   send(now: number, known: KnownCall): readonly GuardAction[] {
     const {call, upstream} = known;
     const quarantined = this.settings.quarantinedFor(now, call.requestDigest);
@@ -105,7 +108,7 @@
     return [{kind: 'run', callId: call.id, upstream: upstream.name}];
   }
 
-  /** What waits for an upstream that drains can go elsewhere at once. */
+  /** Refuses calls queued for draining upstreams, so that they go elsewhere. */
   refuseWhereDraining(now: number): readonly GuardAction[] {
     if (this.settings.drainFinishesQueue) {
       return [];
@@ -116,7 +119,7 @@
       .flatMap(({id}) => this.refuseWaiting(now, id, 'upstream-draining'));
   }
 
-  /** The call was never sent, and never will be. */
+  /** Releases the slot of a call that was not sent, and refuses the call. */
   releaseReservation(
     now: number,
     {call, upstream}: KnownCall,
@@ -131,7 +134,7 @@
     ];
   }
 
-  /** Slots came free: calls that waited have theirs, or waited too long. */
+  /** Starts the calls that got freed slots, and refuses the expired ones. */
   freed(now: number, freed: Freed): readonly GuardAction[] {
     const expired = freed.expired.flatMap(({id}) =>
       this.refuseWaiting(now, id, 'deadline-too-short'),
@@ -147,7 +150,7 @@
     return [...started, ...expired];
   }
 
-  /** What follows from the end of a call that had its slot. */
+  /** Actions after the end of a call that held a slot. */
   ended(
     now: number,
     upstream: UpstreamGuard,
@@ -162,8 +165,9 @@
   }
 
   /**
-   * What follows where doubt began or ended. Calls that wait go elsewhere at once:
-   * the slots that they wait for are held by calls that may never end.
+   * Actions after doubt began or ended. Waiting calls are refused at once, so
+   * that they go elsewhere: the slots they wait for are held by calls that may
+   * never end.
    */
   doubtChanged(
     now: number,
@@ -186,7 +190,7 @@
     return this.calls.get(callId)?.call.mayRunDoubted === true;
   }
 
-  /** What follows from a change of an upstream's standing. */
+  /** Actions after a change of an upstream's standing. */
   noted(
     now: number,
     upstream: UpstreamGuard,
@@ -208,8 +212,9 @@
   }
 
   /**
-   * Ends all calls of an upstream whose process has ended: those that were sent may have
-   * run, the others have not. Returns the digests of the first besides.
+   * Ends all calls of an upstream whose process has ended: those that were sent
+   * may have run, the others have not. Also returns the digests of the sent
+   * ones.
    */
   endAllOf(
     now: number,
@@ -224,13 +229,13 @@
     const sent = ended.filter(({call}) => upstream.isSent(call.id));
     const actions = ended.flatMap((known) =>
       sent.includes(known)
-        ? this.breakOff(now, known)
+        ? this.abortSent(now, known)
         : this.refuseWaiting(now, known.call.id, 'upstream-replaced'),
     );
     return {actions, digests: sent.map(({call}) => call.requestDigest)};
   }
 
-  private breakOff(
+  private abortSent(
     now: number,
     {call, upstream}: KnownCall,
   ): readonly GuardAction[] {
@@ -242,7 +247,7 @@
     ];
   }
 
-  /** Slots that no entry has taken up in time go to others. */
+  /** Releases reserved slots whose entry has not sent its go in time. */
   expireReservations(now: number): readonly GuardAction[] {
     const {reservationMilliseconds} = this.settings;
     return [...this.calls.values()]
--- a/packages/brain/src/guard/callEnds.ts
+++ b/packages/brain/src/guard/callEnds.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** What becomes of calls that end, and of those that wait for their slots. */
+/** Handles the ends of calls and passes their slots on to waiting calls. */
 
 import type {RefusalReason} from '@lockpin/types';
 import type {CallCourse} from './callCourse.js';
@@ -8,21 +8,21 @@
 import {refuse} from './guardRefusals.js';
 import type {UpstreamEnds} from './upstreamEnds.js';
 
-/** Tells callers truly how their calls ended; events of others lead to nothing. */
+/** Reports how calls ended; events for unknown calls are ignored. */
 export class CallEnds {
   constructor(
     private readonly services: GuardedServices,
-    private readonly course: CallCourse,
-    private readonly upstreamEnds: UpstreamEnds,
+    private readonly lifecycle: CallCourse,
+    private readonly exitHandler: UpstreamEnds,
   ) {}
 
-  /** The upstream answered a call. */
+  /** Handles an answer from the upstream. */
   answered(
     now: number,
     event: GuardEvent & {readonly kind: 'upstream-answered'},
   ): readonly GuardAction[] {
     const {callId, status, isShed, answer} = event;
-    const known = this.course.take(callId);
+    const known = this.lifecycle.take(callId);
     if (known === undefined) {
       return [];
     }
@@ -35,42 +35,45 @@
     }
     const wasDoubted = upstream.isDoubted(now);
     const end = upstream.answered(now, callId, status, isShed);
-    return this.course.ended(now, upstream, end, wasDoubted);
+    return this.lifecycle.ended(now, upstream, end, wasDoubted);
   }
 
-  /** The exchange with the upstream broke, or never came about. */
+  /** Handles an exchange that broke or could not be started. */
   failed(
     now: number,
     callId: string,
     wasSent: boolean,
   ): readonly GuardAction[] {
-    const known = this.course.take(callId);
+    const known = this.lifecycle.take(callId);
     if (known === undefined) {
       return [];
     }
     const {call, upstream} = known;
     const wasDoubted = upstream.isDoubted(now);
     const end = upstream.failed(now, callId, true);
-    const after = this.course.ended(now, upstream, end, wasDoubted);
+    const after = this.lifecycle.ended(now, upstream, end, wasDoubted);
     if (!wasSent) {
       const reason = 'upstream-unreachable';
-      return [this.course.refuseForGood(now, call, upstream, reason), ...after];
+      return [
+        this.lifecycle.refuseForGood(now, call, upstream, reason),
+        ...after,
+      ];
     }
     this.services.ledgerOf(call)?.broke(call.onceKey ?? '');
     return [
       refuse(now, call, 'upstream-failed', 'unknown', upstream),
       ...after,
-      ...this.upstreamEnds.broke(now, upstream, call.requestDigest),
+      ...this.exitHandler.broke(now, upstream, call.requestDigest),
     ];
   }
 
-  /** The upstream itself said that it did not run a call. */
+  /** Handles a call that the upstream itself refused without running it. */
   refused(
     now: number,
     callId: string,
     reason: 'upstream-refused' | 'upstream-replaced',
   ): readonly GuardAction[] {
-    const known = this.course.take(callId);
+    const known = this.lifecycle.take(callId);
     if (known === undefined) {
       return [];
     }
@@ -78,34 +81,34 @@
     const wasDoubted = upstream.isDoubted(now);
     const freed = upstream.refused(now, callId, reason);
     return [
-      this.course.refuseForGood(now, call, upstream, reason),
-      ...this.course.doubtChanged(now, upstream, wasDoubted),
-      ...this.course.freed(now, freed),
+      this.lifecycle.refuseForGood(now, call, upstream, reason),
+      ...this.lifecycle.doubtChanged(now, upstream, wasDoubted),
+      ...this.lifecycle.freed(now, freed),
     ];
   }
 
-  /** The entry, or the deadline, wants no more of a call. */
+  /** Ends a call that the entry cancelled or whose deadline passed. */
   givenUp(
     now: number,
     callId: string,
     reason: RefusalReason,
   ): readonly GuardAction[] {
-    const known = this.course.get(callId);
+    const known = this.lifecycle.get(callId);
     if (known === undefined) {
       return [];
     }
     const {call, upstream} = known;
     if (upstream.withdraw(callId)) {
-      return this.course.refuseWaiting(now, callId, reason);
+      return this.lifecycle.refuseWaiting(now, callId, reason);
     }
     if (known.reservedAt !== undefined) {
-      return this.course.releaseReservation(now, known, reason);
+      return this.lifecycle.releaseReservation(now, known, reason);
     }
     if (call.repetition === 'once-only' && reason === 'caller-left') {
-      // It goes on, so that a repeat of the key is told how it ended.
+      // The call continues, so that a repeat of its key gets the outcome.
       return [];
     }
-    this.course.take(callId);
+    this.lifecycle.take(callId);
     this.services.ledgerOf(call)?.broke(call.onceKey ?? '');
     const isFault =
       reason === 'deadline-passed' && upstream.isOverdue(now, callId);
@@ -114,7 +117,7 @@
     return [
       {kind: 'abort', callId},
       refuse(now, call, reason, 'unknown', upstream),
-      ...this.course.ended(now, upstream, end, wasDoubted),
+      ...this.lifecycle.ended(now, upstream, end, wasDoubted),
     ];
   }
 }
--- a/packages/brain/src/guard/guardBrain.ts
+++ b/packages/brain/src/guard/guardBrain.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** The guard of a box: decides what becomes of each call to its upstreams. */
+/** Decision logic of a box's guard for the calls to its upstreams. */
 
 import type {Fence, HolderReply} from '@lockpin/floor';
 import {isLaterPosition, laterPosition} from '@lockpin/utils';
@@ -21,16 +21,16 @@
 import {ReportSchedule} from './reportSchedule.js';
 import {UpstreamEnds} from './upstreamEnds.js';
 
-/** Decides by (now, random, event) alone. */
+/** Deterministic: actions depend only on the state, now, random and event. */
 export class GuardBrain {
   private readonly services: GuardedServices;
   private readonly reports: ReportSchedule;
-  private readonly course: CallCourse;
+  private readonly lifecycle: CallCourse;
   private readonly offers: OfferedCalls;
-  private readonly callEnds: CallEnds;
-  private readonly upstreamEnds: UpstreamEnds;
+  private readonly callEndHandler: CallEnds;
+  private readonly exitHandler: UpstreamEnds;
   private isLeaving = false;
-  /** No permit is taken before the holders stream was read to its end. */
+  /** Permits are only accepted once the holders stream was read to its end. */
   private mayTakePermits = false;
 
   constructor(
@@ -39,41 +39,45 @@
   ) {
     this.services = new GuardedServices(home, settings);
     this.reports = new ReportSchedule(home, this.services);
-    this.course = new CallCourse(this.services, this.reports, settings);
+    this.lifecycle = new CallCourse(this.services, this.reports, settings);
     this.offers = new OfferedCalls(
       this.services,
-      this.course,
+      this.lifecycle,
       () => this.isLeaving,
     );
-    this.upstreamEnds = new UpstreamEnds(this.services, this.course);
-    this.callEnds = new CallEnds(this.services, this.course, this.upstreamEnds);
+    this.exitHandler = new UpstreamEnds(this.services, this.lifecycle);
+    this.callEndHandler = new CallEnds(
+      this.services,
+      this.lifecycle,
+      this.exitHandler,
+    );
   }
 
-  /** Calls accepted and not yet ended. */
+  /** Number of accepted calls that have not ended. */
   get callCount(): number {
-    return this.course.count;
+    return this.lifecycle.count;
   }
 
   /**
-   * Whether an upstream here works on a repeated call: what it calls meanwhile
-   * is repeated as well.
+   * Whether an upstream here runs a retried call. Calls that the upstream makes
+   * in the meantime may then be repeats as well.
    */
   get runsRepeats(): boolean {
     return [...this.services.upstreams()].some(({runsRepeats}) => runsRepeats);
   }
 
-  /** What entries are told of an upstream with each answer. */
+  /** The load hint of an upstream, which entries get with each answer. */
   hintOf(now: number, upstream: string): LoadHint | undefined {
     const hint = this.services.upstream(upstream)?.hint(now);
     return hint && this.isLeaving ? leavingHint(hint) : hint;
   }
 
-  /** The process behind an upstream; undefined when not known. */
+  /** The process behind an upstream; undefined if unknown. */
   incarnationOf(upstream: string): UpstreamIncarnation | undefined {
     return this.services.upstream(upstream)?.incarnation;
   }
 
-  /** The standing of each upstream, for status. */
+  /** The standing of each upstream, for the status endpoint. */
   standings(now: number): readonly {
     readonly upstream: string;
     readonly state: string;
@@ -83,13 +87,14 @@
   }[] {
     return [...this.services.upstreams()].map((upstream) => {
       const {state, occupied, limit} = upstream.hint(now);
-      const shown = upstream.standing.condemned ? 'condemned' : state;
+      const shownState = upstream.standing.condemned ? 'condemned' : state;
       const {name, standing} = upstream;
       const {denial} = standing;
-      return {upstream: name, state: shown, occupied, limit, denial};
+      return {upstream: name, state: shownState, occupied, limit, denial};
     });
   }
 
+  /** Handles an event and returns the resulting actions. */
   handle(
     now: number,
     random: RandomSource,
@@ -101,34 +106,38 @@
       case 'call-go':
         return this.go(now, event.callId, event.requestDigest);
       case 'call-cancelled':
-        return this.callEnds.givenUp(now, event.callId, 'caller-left');
+        return this.callEndHandler.givenUp(now, event.callId, 'caller-left');
       case 'own-call-failed':
         for (const upstream of this.services.upstreams()) {
           upstream.ownCallFailed(now);
         }
         return [];
       case 'call-deadline-passed':
-        return this.callEnds.givenUp(now, event.callId, 'deadline-passed');
+        return this.callEndHandler.givenUp(
+          now,
+          event.callId,
+          'deadline-passed',
+        );
       case 'upstream-answered':
-        return this.callEnds.answered(now, event);
+        return this.callEndHandler.answered(now, event);
       case 'upstream-failed':
-        return this.callEnds.failed(now, event.callId, event.wasSent);
+        return this.callEndHandler.failed(now, event.callId, event.wasSent);
       case 'upstream-looked-at':
-        return this.upstreamEnds.lookedAt(now, event);
+        return this.exitHandler.lookedAt(now, event);
       case 'upstream-refused':
-        return this.callEnds.refused(now, event.callId, event.reason);
+        return this.callEndHandler.refused(now, event.callId, event.reason);
       case 'services-changed':
         return this.configure(now, event.services);
       case 'holder-replied':
         return this.replied(now, event.service, event.reply);
       case 'fence-learnt':
-        return this.learnFence(event.service, event.fence);
+        return this.advanceFence(event.service, event.fence);
       case 'holders-read':
         this.mayTakePermits = true;
         return [];
       case 'leaving':
         this.isLeaving = true;
-        return this.tellLeaving(now);
+        return this.announceLeaving(now);
       case 'clock-gained':
         for (const {retries} of this.services.all()) {
           retries.clockGained(event.milliseconds);
@@ -143,34 +152,34 @@
     now: number,
     services: readonly GuardedService[],
   ): readonly GuardAction[] {
-    const succeeded = this.services.configure(services);
+    const replaced = this.services.configure(services);
     return [
-      ...succeeded.flatMap((upstream) =>
-        this.upstreamEnds.succeeded(
+      ...replaced.flatMap((upstream) =>
+        this.exitHandler.succeeded(
           now,
           upstream,
           this.hintOf(now, upstream.name),
         ),
       ),
-      ...this.course.refuseWhereDraining(now),
+      ...this.lifecycle.refuseWhereDraining(now),
     ];
   }
 
-  /** Only a reservation that still stands is acted upon. */
+  /** Sends a reserved call; ignored if its reservation has ended. */
   private go(
     now: number,
     callId: string,
     requestDigest: string,
   ): readonly GuardAction[] {
-    const known = this.course.get(callId);
+    const known = this.lifecycle.get(callId);
     if (known?.reservedAt === undefined) {
       return [];
     }
     known.call = {...known.call, requestDigest};
     if (known.upstream.isDraining && !this.settings.drainFinishesQueue) {
-      return this.course.releaseReservation(now, known, 'upstream-draining');
+      return this.lifecycle.releaseReservation(now, known, 'upstream-draining');
     }
-    return this.course.send(now, known);
+    return this.lifecycle.send(now, known);
   }
 
   private replied(
@@ -186,14 +195,14 @@
       return [];
     }
     state.fence = reply.fence;
-    return this.course.noted(
+    return this.lifecycle.noted(
       now,
       upstream,
       upstream.standing.replied(now, reply),
     );
   }
 
-  private learnFence(service: string, fence: Fence): readonly GuardAction[] {
+  private advanceFence(service: string, fence: Fence): readonly GuardAction[] {
     const state = this.services.get(service);
     if (state !== undefined) {
       state.fence = laterPosition(state.fence, fence);
@@ -201,8 +210,8 @@
     return [];
   }
 
-  /** Entries go elsewhere before their next offers come in vain. */
-  private tellLeaving(now: number): readonly GuardAction[] {
+  /** Tells entries to use other boxes before they make offers in vain. */
+  private announceLeaving(now: number): readonly GuardAction[] {
     return [...this.services.upstreams()].map((upstream) => ({
       kind: 'standing',
       upstream: upstream.name,
@@ -212,15 +221,15 @@
 
   private tick(now: number): readonly GuardAction[] {
     const actions: GuardAction[] = [];
-    actions.push(...this.course.expireReservations(now));
+    actions.push(...this.lifecycle.expireReservations(now));
     for (const upstream of this.services.upstreams()) {
       const wasDoubted = upstream.isDoubted(now);
       const {freed, changes} = upstream.review(now);
-      actions.push(...this.course.doubtChanged(now, upstream, wasDoubted));
-      actions.push(...this.course.freed(now, freed));
-      actions.push(...this.upstreamEnds.look(now, upstream));
+      actions.push(...this.lifecycle.doubtChanged(now, upstream, wasDoubted));
+      actions.push(...this.lifecycle.freed(now, freed));
+      actions.push(...this.exitHandler.look(now, upstream));
       for (const change of changes) {
-        actions.push(...this.course.noted(now, upstream, change));
+        actions.push(...this.lifecycle.noted(now, upstream, change));
       }
     }
     actions.push(...this.reports.due(now));
--- a/packages/brain/src/guard/guardMessages.ts
+++ b/packages/brain/src/guard/guardMessages.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** What a guard is told, and what it decides. */
+/** Events that a guard handles, the actions it returns, and its settings. */
 
 import {RetryBudget} from '@lockpin/routing';
 import type {LoadHint, RetryAllowance} from '@lockpin/routing';
@@ -15,78 +15,79 @@
   UpstreamIncarnation,
 } from '@lockpin/types';
 
-/** A call as it reaches the guard. */
+/** A call as offered to the guard. */
 export interface GuardCall {
   readonly id: string;
   readonly service: string;
-  /** Undefined for a once-only call: its home chooses among its own. */
+  /** Undefined for a once-only call, whose home chooses a local upstream. */
   readonly upstream: string | undefined;
   readonly customer: string;
   readonly weight: number;
-  /** Name of the route, which is the kind of call. */
+  /** Name of the route, which identifies the kind of call. */
   readonly route: string;
   readonly repetition: Repetition;
   readonly priority: number;
-  /** By the clock here, in milliseconds since 1970. */
+  /** By the local clock, in milliseconds since 1970. */
   readonly deadline: number;
   /** 1 for the first attempt. */
   readonly attempt: number;
   readonly retryShare: number;
-  /** A first attempt of a call that its caller may be making a second time. */
+  /** A first attempt at a call that may be the caller's own repeat. */
   readonly mayBeRepeat?: boolean;
   readonly onceKey: string | undefined;
   /**
-   * The same for all requests that an upstream cannot tell apart; empty where it is not
-   * known, as that of a call which waits for its go.
+   * Equal for all requests that an upstream cannot distinguish. Empty if
+   * unknown, as for a call that waits for its go.
    */
   readonly requestDigest: string;
-  /** By the clock here: an answer later than this is worth less. */
+  /** By the local clock: a later answer is of less use to the caller. */
   readonly usefulUntil?: number;
-  /** By the clock here: its entry wants it back unless it has a slot by then. */
+  /** By the local clock: a call without a slot by then returns to its entry. */
   readonly startBy?: number;
-  /** The entry must say go before the call may run; see Attempt. */
+  /** The call may only run after the entry's go; see Attempt. */
   readonly needsGo?: boolean;
-  /** False when the entry would rather go elsewhere than wait here. */
+  /** False if the entry prefers another upstream to waiting here. */
   readonly mayWait?: boolean;
-  /** The entry has nothing better: even a doubted upstream will do. */
+  /** The entry has no better upstream, and accepts a doubted one. */
   readonly mayRunDoubted?: boolean;
-  /** How long such calls usually take, by all the entry has seen. */
+  /** Usual duration of such calls, as observed by the entry. */
   readonly expectedMilliseconds?: number;
 }
 
-/** How the guard treats calls; what is given up on is set by the owner. */
+/** Settings of the guard; the owner can switch single features off. */
 export interface GuardSettings {
-  /** Whether a few bad calls in a row keep ordinary work away for a moment. */
+  /** Whether a few bad calls in a row divert ordinary calls for a moment. */
   readonly hasQuickDoubt: boolean;
-  /** Whether calls that have not ended are evidence for it. */
+  /** Whether unanswered calls are evidence for such doubt. */
   readonly hasHangEvidence: boolean;
   /**
-   * How many calls that began on this box are held up now. An upstream that made one
-   * is late without any fault: each explains one late call, whoever made it.
+   * Number of calls from this box that are delayed elsewhere. An upstream that
+   * waits for one is late through no fault of its own; each explains one late
+   * call, whichever upstream made it.
    */
   readonly heldUpCalls: () => number;
-  /** Whether little of that evidence keeps calls away that cannot be repeated. */
+  /** Whether weak evidence of a hang diverts calls that cannot be repeated. */
   readonly isCautious: boolean;
-  /** Whether failures that a failed call of the same box explains are no evidence. */
+  /** Whether failures that a failed call from this box explains are ignored. */
   readonly excusesFailures: boolean;
-  /** Whether calls that wait for an upstream go elsewhere when doubt begins. */
+  /** Whether calls waiting for an upstream are refused when doubt begins. */
   readonly doubtReleasesQueue: boolean;
-  /** Whether a suspect upstream announces a part of its slots only. */
+  /** Whether a suspect upstream announces a reduced limit. */
   readonly limitsSuspects: boolean;
-  /** Makes the budget that pays for the retries of a service's calls here. */
+  /** Creates the retry budget of a service on this box. */
   readonly createRetryBudget: (service: string) => RetryAllowance;
   /**
-   * Whether calls that wait still run on an upstream that begins to drain;
-   * false where its owner was promised that nothing more would come.
+   * Whether waiting calls still run on an upstream that begins to drain; false
+   * if its owner relies on receiving no further calls.
    */
   readonly drainFinishesQueue: boolean;
-  /** How much longer no upstream is to run a request, in milliseconds; 0 if one may. */
+  /** Remaining quarantine of a request in milliseconds; 0 if it may run. */
   readonly quarantinedFor: (now: number, requestDigest: string) => number;
-  /** A slot kept for an entry that does not say go is given back after this. */
+  /** A reserved slot is released after this time without the entry's go. */
   readonly reservationMilliseconds: number;
 }
 
-/** Reservations end well after the slowest round trip between data centres. */
+/** Reservations outlast the slowest round trip between data centres. */
 export const DEFAULT_GUARD_SETTINGS: GuardSettings = {
   hasQuickDoubt: false,
   hasHangEvidence: true,
@@ -101,18 +102,18 @@
   reservationMilliseconds: 250,
 };
 
-/** A service that has upstreams on this box. */
+/** A service with upstreams on this box. */
 export interface GuardedService {
   readonly name: string;
   readonly sensitivity: Sensitivity;
-  /** Only those on this box. */
+  /** Only the upstreams on this box. */
   readonly upstreams: readonly Resource<'Upstream'>[];
 }
 
-/** What happens to a guard. */
+/** An event for the guard. */
 export type GuardEvent =
   | {readonly kind: 'call-offered'; readonly call: GuardCall}
-  /** The entry holds the reservation to be good: the call may run. */
+  /** The entry confirmed the reservation: the call may run. */
   | {
       readonly kind: 'call-go';
       readonly callId: string;
@@ -120,32 +121,32 @@
     }
   | {readonly kind: 'call-cancelled'; readonly callId: string}
   | {readonly kind: 'call-deadline-passed'; readonly callId: string}
-  /** A call that began on this box failed: its upstream may have made it. */
+  /** A call from this box failed; a local upstream may have made it. */
   | {readonly kind: 'own-call-failed'}
   | {
       readonly kind: 'upstream-answered';
       readonly callId: string;
       readonly status: number;
-      /** The upstream said that it has too much to do. */
+      /** The upstream reported overload. */
       readonly isShed: boolean;
-      /** The whole answer when it is small enough to be kept. */
+      /** The complete answer if it is small enough to be stored. */
       readonly answer: StoredAnswer | undefined;
     }
   | {
       readonly kind: 'upstream-failed';
       readonly callId: string;
-      /** False only when not a byte of the call reached the upstream. */
+      /** False only if no byte of the call reached the upstream. */
       readonly wasSent: boolean;
     }
-  /** What was found at the address of an upstream that broke calls. */
+  /** Result of the connection check on an upstream that broke calls. */
   | {
       readonly kind: 'upstream-looked-at';
       readonly upstream: string;
-      /** Of the process that broke them. */
+      /** The process that broke the calls. */
       readonly incarnation: UpstreamIncarnation | undefined;
       readonly presence: Presence;
     }
-  /** The upstream itself said that it did not run the call. */
+  /** The upstream itself refused the call without running it. */
   | {
       readonly kind: 'upstream-refused';
       readonly callId: string;
@@ -167,14 +168,14 @@
     }
   | {readonly kind: 'holders-read'}
   | {readonly kind: 'leaving'}
-  /** From here on the clock counts time that may not have passed. */
+  /** The clock jumped ahead, by time that may not have passed. */
   | {readonly kind: 'clock-gained'; readonly milliseconds: number}
   | {readonly kind: 'tick'};
 
-/** What a guard wants done. */
+/** An action that the guard requests. */
 export type GuardAction =
   | {readonly kind: 'run'; readonly callId: string; readonly upstream: string}
-  /** There is a slot, kept until the entry says go. */
+  /** A slot is reserved until the entry's go. */
   | {readonly kind: 'reserve'; readonly callId: string}
   /** The call waits for a slot. */
   | {readonly kind: 'queue'; readonly callId: string}
@@ -184,7 +185,7 @@
       readonly refusal: Refusal;
       readonly upstream: string;
       readonly hint: LoadHint | undefined;
-      /** Set only for refusals as 'upstream-doubted'; used in logs and metrics. */
+      /** Set only for 'upstream-doubted' refusals; used in logs and metrics. */
       readonly doubtReason: DoubtReason | undefined;
     }
   | {
@@ -192,26 +193,26 @@
       readonly callId: string;
       readonly answer: StoredAnswer;
     }
-  /** Breaks off the exchange with the upstream; its connection is closed. */
+  /** Aborts the exchange with the upstream and closes its connection. */
   | {readonly kind: 'abort'; readonly callId: string}
   | {
       readonly kind: 'report';
       readonly service: string;
       readonly reports: readonly GuardReport[];
     }
-  /** Is there still anybody at the address of the upstream? */
+  /** Check whether anything listens at the upstream's address. */
   | {
       readonly kind: 'look-at-upstream';
       readonly upstream: string;
       readonly incarnation: UpstreamIncarnation | undefined;
     }
-  /** The upstream ended while it ran requests with these digests. */
+  /** The upstream crashed while it ran requests with these digests. */
   | {
       readonly kind: 'upstream-crashed';
       readonly upstream: string;
       readonly digests: readonly string[];
     }
-  /** Entries should know at once how the upstream stands. */
+  /** Tell entries at once about the state of the upstream. */
   | {
       readonly kind: 'standing';
       readonly upstream: string;
--- a/packages/brain/src/guard/guardRefusals.ts
+++ b/packages/brain/src/guard/guardRefusals.ts
@@ -1,15 +1,15 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** The refusals of a guard. */
+/** Refuse actions and load hints of a guard. */
 
 import type {LoadHint} from '@lockpin/routing';
 import type {RefusalOutcome, RefusalReason} from '@lockpin/types';
 import type {GuardAction, GuardCall} from './guardMessages.js';
 import type {UpstreamGuard} from './upstreamGuard.js';
 
-/** Tells an entry that its call does not run here. */
+/** The action that refuses a call to its entry. */
 export type RefuseAction = GuardAction & {readonly kind: 'refuse'};
 
-/** Refuses a call, with what its entry should know of the upstream. */
+/** Creates the refusal of a call, with the upstream's current load hint. */
 export function refuse(
   now: number,
   call: GuardCall,
@@ -30,8 +30,9 @@
 }
 
 /**
- * The upstream may be well, but nothing reaches it through this node. What the
- * guard thinks of it no longer counts: a probe of it would be refused as well.
+ * The hint for an upstream on a node that is leaving. The upstream may be
+ * healthy, but is no longer reachable through this node. Doubt is left out,
+ * since a probe would be refused as well.
  */
 export function leavingHint({occupied, limit}: LoadHint): LoadHint {
   return {state: 'draining', occupied, limit};
--- a/packages/brain/src/guard/guardedServices.ts
+++ b/packages/brain/src/guard/guardedServices.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** The services and upstreams of a box, as its guard keeps them. */
+/** State that the guard keeps for each service and upstream of its box. */
 
 import {OnceLedger} from '@lockpin/once';
 import type {OnceHome} from '@lockpin/once';
@@ -15,18 +15,18 @@
 } from './guardMessages.js';
 import {UpstreamGuard} from './upstreamGuard.js';
 
-/** What a guard keeps of one service. */
+/** State of one service. */
 export interface ServiceState {
   guarded: GuardedService;
-  /** Once keys live as long as the process, whatever the configuration does. */
+  /** Kept as long as the process lives, whatever the configuration does. */
   readonly ledger: OnceLedger;
-  /** Lives as long as the process too: it knows what was spent in its window. */
+  /** Kept as long as the process lives, since it tracks the retries spent. */
   readonly retries: RetryAllowance;
-  /** The latest fence known; no permit of an earlier one is taken. */
+  /** The latest fence known; permits with an earlier one are not accepted. */
   fence: Fence;
 }
 
-/** Follows the configuration; a service stays known once it was here. */
+/** Follows the configuration; services are kept after they are removed. */
 export class GuardedServices {
   private readonly states = new Map<string, ServiceState>();
   private readonly guards = new Map<string, UpstreamGuard>();
@@ -65,25 +65,26 @@
   }
 
   /**
-   * Takes in the configuration of this box; returns the guards of upstreams whose
-   * processes have surely ended, for others have taken up their ids.
+   * Applies the configuration of this box. Returns the former guards of
+   * upstreams whose processes must have ended, because new ones have taken over
+   * their ids.
    */
   configure(services: readonly GuardedService[]): readonly UpstreamGuard[] {
-    const succeeded: UpstreamGuard[] = [];
+    const replaced: UpstreamGuard[] = [];
     const names = new Set<string>();
     for (const service of services) {
       const state = this.state(service);
       state.guarded = service;
       for (const resource of service.upstreams) {
         names.add(resource.name);
-        succeeded.push(...this.configureUpstream(state, resource));
+        replaced.push(...this.configureUpstream(state, resource));
       }
     }
-    this.forgetAllBut(names);
-    return succeeded;
+    this.removeUpstreamsExcept(names);
+    return replaced;
   }
 
-  /** Returns the guard before, where its upstream's id was taken up by another process. */
+  /** Returns the former guard if a new process took over its upstream's id. */
   private configureUpstream(
     {guarded, retries}: ServiceState,
     resource: Resource<'Upstream'>,
@@ -99,7 +100,7 @@
       found.configure(resource, sensitivity);
       return [];
     }
-    // What was learnt of another process says nothing of this one.
+    // Evidence about another process does not apply to this one.
     this.guards.set(
       name,
       new UpstreamGuard(name, resource, sensitivity, this.settings, retries),
@@ -108,7 +109,7 @@
     return found !== undefined && hasSameId ? [found] : [];
   }
 
-  /** The upstream a call names, or for a once-only one the least occupied. */
+  /** The upstream named by the call; the least occupied for once-only calls. */
   choose(
     now: number,
     call: GuardCall,
@@ -122,8 +123,8 @@
     const open = own.filter((guard) => guard.hint(now).state === 'accepting');
     const usable = open.length > 0 ? open : own;
     const least = Math.min(...usable.map(({occupied}) => occupied));
-    const equal = usable.filter(({occupied}) => occupied === least);
-    return equal[Math.floor(random() * equal.length)];
+    const candidates = usable.filter(({occupied}) => occupied === least);
+    return candidates[Math.floor(random() * candidates.length)];
   }
 
   /** The ledger of a once-only call; undefined for any other. */
@@ -138,17 +139,17 @@
     if (found !== undefined) {
       return found;
     }
-    const made = {
+    const created = {
       guarded,
       ledger: new OnceLedger(this.home),
       retries: this.settings.createRetryBudget(guarded.name),
       fence: NO_FENCE,
     };
-    this.states.set(guarded.name, made);
-    return made;
+    this.states.set(guarded.name, created);
+    return created;
   }
 
-  private forgetAllBut(known: ReadonlySet<string>): void {
+  private removeUpstreamsExcept(known: ReadonlySet<string>): void {
     for (const name of this.guards.keys()) {
       if (!known.has(name)) {
         this.guards.delete(name);
--- a/packages/brain/src/guard/offeredCalls.ts
+++ b/packages/brain/src/guard/offeredCalls.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** What becomes of a call that an entry offers to a guard. */
+/** Handles the calls that entries offer to a guard. */
 
 import {parseOnceKey} from '@lockpin/once';
 import type {OnceDecision} from '@lockpin/once';
@@ -11,15 +11,15 @@
 import {onceRefusal} from './onceRefusals.js';
 import type {UpstreamGuard} from './upstreamGuard.js';
 
-/** Takes in offers; what is accepted goes on in the course of calls. */
+/** Admits or refuses offered calls; CallLifecycle tracks the accepted ones. */
 export class OfferedCalls {
   constructor(
     private readonly services: GuardedServices,
-    private readonly course: CallCourse,
+    private readonly lifecycle: CallCourse,
     private readonly isLeaving: () => boolean,
   ) {}
 
-  /** Runs the call, lets it wait, answers it from the ledger, or refuses it. */
+  /** Runs the call, queues it, answers it from the ledger, or refuses it. */
   offered(
     now: number,
     random: RandomSource,
@@ -31,12 +31,12 @@
       return [refuse(now, call, 'no-upstream', 'not-run', undefined)];
     }
     if (call.repetition === 'once-only') {
-      return this.offeredOnce(now, call, service, upstream);
+      return this.offerOnceOnly(now, call, service, upstream);
     }
     return this.admit(now, call, upstream);
   }
 
-  private offeredOnce(
+  private offerOnceOnly(
     now: number,
     call: GuardCall,
     service: ServiceState,
@@ -76,25 +76,29 @@
     }
     const reason = upstream.refusalReason(now, call);
     if (reason !== undefined) {
-      return [this.course.refuseForGood(now, call, upstream, reason)];
+      return [this.lifecycle.refuseForGood(now, call, upstream, reason)];
     }
     const offer = upstream.offer(now, call);
     if (offer.kind === 'refused') {
       const after = offer.retryAfterMilliseconds;
       return [
-        this.course.refuseForGood(now, call, upstream, offer.reason, after),
+        this.lifecycle.refuseForGood(now, call, upstream, offer.reason, after),
       ];
     }
-    const known = this.course.add(call, upstream);
+    const known = this.lifecycle.add(call, upstream);
     if (offer.kind === 'start') {
-      return this.course.run(now, known);
+      return this.lifecycle.run(now, known);
     }
     const queued: GuardAction = {kind: 'queue', callId: call.id};
     return offer.displaced === undefined
       ? [queued]
       : [
           queued,
-          ...this.course.refuseWaiting(now, offer.displaced.id, 'queue-full'),
+          ...this.lifecycle.refuseWaiting(
+            now,
+            offer.displaced.id,
+            'queue-full',
+          ),
         ];
   }
 
@@ -104,7 +108,7 @@
     upstream: UpstreamGuard,
   ): GuardAction {
     const reason = 'node-leaving';
-    const refusal = this.course.refuseForGood(now, call, upstream, reason);
+    const refusal = this.lifecycle.refuseForGood(now, call, upstream, reason);
     const {hint} = refusal;
     return {...refusal, hint: hint && leavingHint(hint)};
   }
--- a/packages/brain/src/guard/onceRefusals.ts
+++ b/packages/brain/src/guard/onceRefusals.ts
@@ -1,10 +1,10 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** What a repeat of a once key is told. */
+/** Refusals of repeated once keys. */
 
 import type {OnceDecision} from '@lockpin/once';
 import type {RefusalOutcome, RefusalReason} from '@lockpin/types';
 
-/** Decisions on a repeat that are not an answer. */
+/** Decisions on a repeated key other than replaying the stored answer. */
 export type RepeatDecision = Exclude<OnceDecision['kind'], 'run' | 'answer'>;
 
 interface RepeatRefusal {
--- a/packages/brain/src/guard/ownCallFailures.ts
+++ b/packages/brain/src/guard/ownCallFailures.ts
@@ -1,30 +1,31 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Failures of an upstream that calls of its own explain. */
+/** Failures of an upstream that are caused by failed calls of its own. */
 
 /**
- * Time from the failure of a call that an upstream made to its own failure: two turns
- * of event loops on one box.
+ * Maximum time from the failure of a call that an upstream made to its own
+ * failure: two turns of event loops on one box.
  */
 const SAME_CAUSE_MILLISECONDS = 20;
 
 /**
- * An upstream that needs a call of its own fails at once when that call does. Such a
- * failure tells of the service that was called, and nothing of this upstream. Calls
- * of the box's other callers cannot be told apart here: now and then one of them
- * excuses a failure that it did not cause.
+ * An upstream that depends on a call of its own fails as soon as that call
+ * fails. Such a failure is evidence about the service that was called, not
+ * about this upstream. Calls by other callers on the box cannot be
+ * distinguished here, so one of them sometimes excuses a failure that it did
+ * not cause.
  */
 export class OwnCallFailures {
-  private lastAt = Number.NEGATIVE_INFINITY;
+  private failedAt = Number.NEGATIVE_INFINITY;
 
-  constructor(private readonly isOn: boolean) {}
+  constructor(private readonly isEnabled: boolean) {}
 
-  /** A call that began on this box failed. */
+  /** Records that a call from this box failed. */
   failed(now: number): void {
-    this.lastAt = now;
+    this.failedAt = now;
   }
 
-  /** Whether a failure of the upstream now follows from it. */
+  /** Whether a failure of the upstream now is attributed to such a call. */
   explainsFailure(now: number): boolean {
-    return this.isOn && now - this.lastAt <= SAME_CAUSE_MILLISECONDS;
+    return this.isEnabled && now - this.failedAt <= SAME_CAUSE_MILLISECONDS;
   }
 }
--- a/packages/brain/src/guard/payForSending.ts
+++ b/packages/brain/src/guard/payForSending.ts
@@ -1,12 +1,12 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** What calls that are sent to an upstream add to its service's retries, or cost. */
+/** Charges calls that are sent to an upstream to the service's retry budget. */
 
 import type {RetryAllowance} from '@lockpin/routing';
 import type {GuardCall} from './guardMessages.js';
 
 /**
- * First attempts that reach the upstream pay for the retries that do; false for a
- * retry that nothing pays for, which must not be sent.
+ * First attempts that are sent earn credit for retries. Returns false for a
+ * retry that the budget does not cover, which must not be sent.
  */
 export function payForSending(
   now: number,
--- a/packages/brain/src/guard/presumedDuration.ts
+++ b/packages/brain/src/guard/presumedDuration.ts
@@ -1,17 +1,19 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** How long a call is taken to last of whose kind nobody has seen an answer yet. */
+/** Estimated duration of calls of a kind that has not been answered yet. */
 
 import type {GuardCall} from './guardMessages.js';
 
 /**
- * Operators set the goal of a route at two to four times what its calls usually take.
- * Half of it is more than usual, so that calls look late too late rather than too soon.
+ * Operators set the latency goal of a route to two to four times the usual
+ * duration of its calls. Half of the goal is more than the usual duration,
+ * so that healthy calls do not count as late.
  */
 const PRESUMED_SHARE_OF_GOAL = 0.5;
 
 /**
- * A node that has just started knows no durations, and an upstream that hangs from the
- * start never shows any: what is left of the goal stands in for them.
+ * Estimates the duration from the time left until the latency goal. A node that
+ * has just started has no measured durations, and an upstream that hangs from
+ * the start never yields any.
  */
 export function presumedDuration(
   now: number,
--- a/packages/brain/src/guard/quickDoubt.ts
+++ b/packages/brain/src/guard/quickDoubt.ts
@@ -1,40 +1,43 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Quick doubt of one upstream, where the guard has it, and its evidence. */
+/** Short-term doubt about one upstream, and the evidence for it. */
 
 import {Doubt, HangEvidence} from '@lockpin/detection';
 import type {CallEvidenceKind} from '@lockpin/detection';
 import type {GuardSettings} from './guardMessages.js';
 
 /**
- * Entries offer calls again this soon after an upstream refused them as uncertain. Calls
- * take a few hundred milliseconds, and most offers before the next answer are refused.
+ * Announced duration of doubt for an uncertain upstream, after which entries
+ * offer calls again. Calls take a few hundred milliseconds, and most offers
+ * before the next answer are refused.
  */
-const UNCERTAIN_MILLISECONDS = 500;
+const UNCERTAIN_RETRY_MILLISECONDS = 500;
 
 /**
- * Strength of the evidence of hanging from which calls that cannot be repeated go
- * elsewhere: what is seen is three times as likely from an upstream that hangs. That
- * costs little where it is wrong, and ends with the next answers or call interval.
+ * Strength of the evidence of hanging at which calls that cannot be repeated
+ * are refused: the observations are three times as likely from a hanging
+ * upstream. A wrong decision costs little and ends with the next answers or
+ * call interval.
  */
-const CAUTIOUS_AT = 1.2;
+const UNCERTAIN_STRENGTH = 1.2;
 
-/** Strength from which the upstream is doubted: thirty times as likely. */
-const DOUBTED_AT = 3.5;
+/** Strength at which the upstream is doubted: thirty times as likely. */
+const DOUBT_STRENGTH = 3.5;
 
 /**
- * Interval between calls while none has succeeded yet, as a share of their usual
- * duration. Calls overlap, so that a single hung call does not block the upstream.
+ * Interval between calls while none has succeeded yet, as a share of their
+ * usual duration. Calls overlap, so that a single hung call does not block the
+ * upstream.
  */
 const UNPROVEN_INTERVAL_SHARE = 0.25;
 
 /**
- * An uncertain upstream may get its next call this long after the last one started, at
- * the latest. A hung call would otherwise block calls that cannot be repeated until it
- * ends.
+ * An uncertain upstream gets its next call at the latest this long after the
+ * last one started. A hung call would otherwise block calls that cannot be
+ * repeated until it ends.
  */
-const LONGEST_CALL_INTERVAL_MILLISECONDS = 1000;
+const MAXIMUM_CALL_INTERVAL_MILLISECONDS = 1000;
 
-/** What of it is on. */
+/** The guard settings that short-term doubt uses. */
 export type QuickDoubtSettings = Pick<
   GuardSettings,
   'hasQuickDoubt' | 'hasHangEvidence' | 'isCautious' | 'heldUpCalls'
@@ -42,32 +45,32 @@
 
 /** Why calls to an upstream are refused as 'upstream-doubted'. */
 export type DoubtReason =
-  /** No call has succeeded yet, and the interval since the last one has not passed. */
+  /** No call has succeeded, and the interval since the last has not passed. */
   | 'unproven'
   /** Unanswered calls are taking longer than usual. */
   | 'late-calls'
   /** Recent calls failed, were refused or were slow, or calls are hanging. */
   | 'bad-calls';
 
-/** Counts each call's evidence once; doubts nothing where it is off. */
+/** Counts the evidence of each call once; no effect if switched off. */
 export class QuickDoubt {
   private readonly doubt = new Doubt();
   private readonly evidence = new HangEvidence();
-  /** Calls that were taken as evidence of hanging before they ended. */
-  private readonly counted = new Set<string>();
+  /** Calls counted as evidence of hanging before they ended. */
+  private readonly countedAsHanging = new Set<string>();
   private lastStartedAt = Number.NEGATIVE_INFINITY;
-  /** Earliest time of the next call while none has succeeded. */
+  /** Earliest time of the next call as long as none has succeeded. */
   private nextUnprovenCallAt = 0;
 
   constructor(private readonly settings: QuickDoubtSettings) {}
 
-  private get isOn(): boolean {
+  private get isEnabled(): boolean {
     return this.settings.hasQuickDoubt;
   }
 
-  /** The upstream failed too often to be offered calls at large. */
+  /** Whether the upstream is doubted because of bad calls. */
   isDoubted(now: number): boolean {
-    return this.isOn && this.doubt.isDoubted(now);
+    return this.isEnabled && this.doubt.isDoubted(now);
   }
 
   /** The evidence that last began or renewed doubt. */
@@ -76,18 +79,21 @@
   }
 
   /**
-   * Whether calls that cannot be repeated are refused for now. The refusal lapses when
-   * no call has started for a while, even if none has been answered.
+   * Whether calls that cannot be repeated are refused for now. The refusal
+   * lapses when no call has started for a while, even if none has been
+   * answered.
    */
   isUncertain(now: number, isIdle: boolean): boolean {
     return (
-      this.isOn && (this.isUnproven(now, isIdle) || this.looksLikeHanging(now))
+      this.isEnabled &&
+      (this.isUnproven(now, isIdle) || this.appearsToHang(now))
     );
   }
 
   /**
-   * Why calls are refused at this time; undefined when none are. If several reasons
-   * apply, 'bad-calls' takes precedence over 'unproven', and that over 'late-calls'.
+   * Why calls are refused at this time; undefined when none are. If several
+   * reasons apply, 'bad-calls' takes precedence over 'unproven', and that over
+   * 'late-calls'.
    */
   reason(now: number, isIdle: boolean): DoubtReason | undefined {
     if (this.isDoubted(now)) {
@@ -103,83 +109,83 @@
     return !this.doubt.isProven && !isIdle && now < this.nextUnprovenCallAt;
   }
 
-  private looksLikeHanging(now: number): boolean {
+  private appearsToHang(now: number): boolean {
     const hasRecentCall =
-      now - this.lastStartedAt < LONGEST_CALL_INTERVAL_MILLISECONDS;
+      now - this.lastStartedAt < MAXIMUM_CALL_INTERVAL_MILLISECONDS;
     return (
       this.settings.isCautious &&
       hasRecentCall &&
-      this.hangStrength(now) >= CAUTIOUS_AT
+      this.hangStrength(now) >= UNCERTAIN_STRENGTH
     );
   }
 
-  /** How much longer it is doubted, in milliseconds. */
+  /** Remaining duration of doubt, in milliseconds. */
   remaining(now: number): number {
     return this.doubt.remaining(now);
   }
 
-  /** What entries are told of how long it is doubted, in milliseconds. */
+  /** Duration of doubt that is announced to entries, in milliseconds. */
   announcedFor(now: number): number {
     return this.isDoubted(now)
       ? this.doubt.remaining(now)
-      : UNCERTAIN_MILLISECONDS;
+      : UNCERTAIN_RETRY_MILLISECONDS;
   }
 
-  /** When the next call may find out how it is, in milliseconds from now. */
+  /** Milliseconds until the next probe is allowed. */
   untilProbe(now: number): number {
     return this.doubt.untilProbe(now);
   }
 
   /**
-   * A call has its slot; it usually takes so many milliseconds. Under doubt it is a
-   * probe.
+   * Records that a call got its slot, with its usual duration in milliseconds.
+   * During doubt the call counts as a probe.
    */
   started(now: number, usual: number | undefined): void {
     const interval =
       (usual ?? Number.POSITIVE_INFINITY) * UNPROVEN_INTERVAL_SHARE;
     this.lastStartedAt = now;
     this.nextUnprovenCallAt =
-      now + Math.min(LONGEST_CALL_INTERVAL_MILLISECONDS, interval);
+      now + Math.min(MAXIMUM_CALL_INTERVAL_MILLISECONDS, interval);
     if (this.isDoubted(now)) {
       this.doubt.probed(now);
     }
   }
 
-  /** A call goes to the upstream; it usually takes so many milliseconds. */
+  /** Records that a call was sent, with its usual duration in milliseconds. */
   sent(now: number, callId: string, usual: number | undefined): void {
-    if (this.isOn && this.settings.hasHangEvidence) {
+    if (this.isEnabled && this.settings.hasHangEvidence) {
       this.evidence.started(now, callId, usual);
     }
   }
 
-  /** How a call ended; what was counted as hanging is not counted twice. */
+  /** Records the outcome of a call unless it was counted as hanging. */
   observe(
     now: number,
     callId: string,
     isRunning: boolean,
     kind: CallEvidenceKind,
   ): void {
-    const wasCounted = this.counted.delete(callId);
+    const wasCounted = this.countedAsHanging.delete(callId);
     if (kind === 'broken') {
       this.evidence.forget(callId);
     } else {
       this.evidence.answered(callId);
     }
-    if (this.isOn && isRunning && !wasCounted) {
+    if (this.isEnabled && isRunning && !wasCounted) {
       this.doubt.observe(now, kind);
     }
   }
 
-  /** Looks at calls that have not ended; they count before they do. */
+  /** Begins doubt if the running calls show that the upstream hangs. */
   review(now: number, runningIds: Iterable<string>): void {
-    if (!this.isOn || this.isDoubted(now)) {
+    if (!this.isEnabled || this.isDoubted(now)) {
       return;
     }
-    if (this.hangStrength(now) < DOUBTED_AT) {
+    if (this.hangStrength(now) < DOUBT_STRENGTH) {
       return;
     }
     for (const callId of runningIds) {
-      this.counted.add(callId);
+      this.countedAsHanging.add(callId);
     }
     this.evidence.reset();
     this.doubt.observe(now, 'hanging');
@@ -189,9 +195,9 @@
     return this.evidence.strength(now, this.settings.heldUpCalls());
   }
 
-  /** A call is over, with nothing learnt from it. */
+  /** Drops a call that ended without evidence about the upstream. */
   forget(callId: string): void {
-    this.counted.delete(callId);
+    this.countedAsHanging.delete(callId);
     this.evidence.forget(callId);
   }
 }
--- a/packages/brain/src/guard/reportSchedule.ts
+++ b/packages/brain/src/guard/reportSchedule.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** When the permit holders hear of the upstreams of a box. */
+/** Schedules the reports on local upstreams to the permit holders. */
 
 import type {Fence, GuardReport} from '@lockpin/floor';
 import type {OnceHome} from '@lockpin/once';
@@ -7,22 +7,22 @@
 import type {GuardAction} from './guardMessages.js';
 import type {UpstreamGuard} from './upstreamGuard.js';
 
-/** Milliseconds between reports on an upstream that is well. */
+/** Milliseconds between reports on an upstream that is not condemned. */
 export const REPORT_INTERVAL_MILLISECONDS = 2000;
 
-/** Milliseconds between reports on an upstream that asks for its ejection. */
+/** Milliseconds between reports on an upstream that requests a permit. */
 const URGENT_REPORT_MILLISECONDS = 100;
 
-/** Reports what is due, in one message for each service. */
+/** Creates the reports that are due, in one message per service. */
 export class ReportSchedule {
-  private readonly nextAt = new Map<string, number>();
+  private readonly nextReportAt = new Map<string, number>();
 
   constructor(
     private readonly home: OnceHome,
     private readonly services: GuardedServices,
   ) {}
 
-  /** Reports that are due, or carry news. */
+  /** Reports that are due, or whose upstream changed its suspect state. */
   due(now: number): readonly GuardAction[] {
     return [...this.services.all()].flatMap((service) => {
       const upstreams = this.services
@@ -32,7 +32,7 @@
     });
   }
 
-  /** A report on one upstream, at once. */
+  /** An immediate report on one upstream. */
   urgent(now: number, upstream: UpstreamGuard): readonly GuardAction[] {
     const service = this.services.serviceOf(upstream);
     return service === undefined ? [] : this.message(now, service, [upstream]);
@@ -40,7 +40,8 @@
 
   private isDue(now: number, upstream: UpstreamGuard): boolean {
     return (
-      now >= (this.nextAt.get(upstream.name) ?? 0) || upstream.standing.hasNews
+      now >= (this.nextReportAt.get(upstream.name) ?? 0) ||
+      upstream.standing.hasNews
     );
   }
 
@@ -49,7 +50,9 @@
     {guarded, fence}: ServiceState,
     upstreams: readonly UpstreamGuard[],
   ): readonly GuardAction[] {
-    const reports = upstreams.map((one) => this.report(now, one, fence));
+    const reports = upstreams.map((upstream) =>
+      this.report(now, upstream, fence),
+    );
     return reports.length === 0
       ? []
       : [{kind: 'report', service: guarded.name, reports}];
@@ -63,7 +66,7 @@
     const interval = upstream.standing.condemned
       ? URGENT_REPORT_MILLISECONDS
       : REPORT_INTERVAL_MILLISECONDS;
-    this.nextAt.set(upstream.name, now + interval);
+    this.nextReportAt.set(upstream.name, now + interval);
     return upstream.report(now, this.home, fence);
   }
 }
--- a/packages/brain/src/guard/standingActions.ts
+++ b/packages/brain/src/guard/standingActions.ts
@@ -1,11 +1,11 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** What others are told when the standing of an upstream changes. */
+/** Actions that publish changes of an upstream's standing. */
 
 import type {GuardAction} from './guardMessages.js';
 import type {UpstreamGuard} from './upstreamGuard.js';
 import type {StandingChange} from './upstreamStanding.js';
 
-/** A change of standing, for the time line. */
+/** The timeline entry for a change of standing. */
 export function standingEvent(
   {name}: UpstreamGuard,
   {change, verdict}: StandingChange,
@@ -19,7 +19,7 @@
   };
 }
 
-/** Tells of doubt that began or ended since it was last looked at. */
+/** Actions that publish the start or end of doubt; none if unchanged. */
 export function doubtNoted(
   now: number,
   upstream: UpstreamGuard,
--- a/packages/brain/src/guard/upstreamEnds.ts
+++ b/packages/brain/src/guard/upstreamEnds.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Upstreams whose processes end: how it is found out, and what ran there. */
+/** Detects ended upstream processes and the requests that ran on them. */
 
 import type {LoadHint} from '@lockpin/routing';
 import {isSameIncarnation} from '@lockpin/utils';
@@ -8,14 +8,17 @@
 import type {GuardedServices} from './guardedServices.js';
 import type {UpstreamGuard} from './upstreamGuard.js';
 
-/** Follows broken calls to the ends of their upstreams. */
+/** Handles broken calls, connection checks and replaced processes. */
 export class UpstreamEnds {
   constructor(
     private readonly services: GuardedServices,
-    private readonly course: CallCourse,
+    private readonly lifecycle: CallCourse,
   ) {}
 
-  /** One that drains is to end, and breaks what takes longer than it stays. */
+  /**
+   * Handles a broken call. A draining upstream is expected to exit and to break
+   * calls that outlast it, so its exit is no crash.
+   */
   broke(
     now: number,
     upstream: UpstreamGuard,
@@ -29,7 +32,7 @@
         ];
   }
 
-  /** Calls broke: has the upstream ended, or does it only reset connections? */
+  /** Requests a connection check if one is due after broken calls. */
   look(now: number, upstream: UpstreamGuard): readonly GuardAction[] {
     const {name, incarnation} = upstream;
     return upstream.crashes.beginLook(now)
@@ -37,7 +40,7 @@
       : [];
   }
 
-  /** What is found at the address tells nothing of an earlier process there. */
+  /** Handles a connection check, unless it concerns an earlier process. */
   lookedAt(
     now: number,
     event: GuardEvent & {readonly kind: 'upstream-looked-at'},
@@ -50,8 +53,8 @@
   }
 
   /**
-   * The process ended and another one has its id: nothing of its calls can still come,
-   * and what was told of its standing is past.
+   * Handles a process that was replaced by another one with the same id: its
+   * calls can no longer be answered, and its announced standing is obsolete.
    */
   succeeded(
     now: number,
@@ -59,7 +62,7 @@
     hint: LoadHint | undefined,
   ): readonly GuardAction[] {
     const {name, isDraining} = upstream;
-    const {actions, digests} = this.course.endAllOf(now, upstream);
+    const {actions, digests} = this.lifecycle.endAllOf(now, upstream);
     return [
       ...actions,
       ...crashed(upstream, isDraining ? [] : digests),
--- a/packages/brain/src/guard/upstreamGuard.ts
+++ b/packages/brain/src/guard/upstreamGuard.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Everything a guard decides about one upstream. */
+/** Guard of one upstream: admission, doubt and ejection. */
 
 import {Admission} from '@lockpin/admission';
 import type {Freed, Offer, WaitingCall} from '@lockpin/admission';
@@ -29,31 +29,31 @@
 import {UsualDurations} from './usualDurations.js';
 import {waitingCall} from './waitingCall.js';
 
-/** A suspect upstream announces this part of its limit, so that calls go elsewhere. */
+/** Share of its limit that a suspect upstream announces, to divert calls. */
 const SUSPECT_LIMIT_SHARE = 0.25;
 
-/** The upstream lacks what the call asks for, which is no failure. */
+/** The upstream does not support the call, which does not count as failure. */
 const NOT_IMPLEMENTED_STATUS = 501;
 
-/** What the end of a call led to. */
+/** Consequences of the end of a call. */
 export interface CallEnd {
   readonly freed: Freed;
   readonly change: StandingChange | undefined;
 }
 
-/** Admission, evidence and ejection of one upstream. */
+/** Admits calls to one upstream and evaluates their outcomes. */
 export class UpstreamGuard {
   private readonly admission: Admission;
-  /** What the sequential tests say of it, and what follows. */
+  /** Verdict of the sequential tests, and the resulting ejection state. */
   readonly standing: UpstreamStanding;
-  /** Whether broken calls mean that its process has ended. */
+  /** Detects from broken calls whether the process has ended. */
   readonly crashes = new CrashWatch();
   private readonly running = new Map<string, RunningCall>();
   private readonly doubt: QuickDoubt;
   private readonly refusals: UpstreamRefusals;
   private readonly durations: UsualDurations;
-  private readonly ownCalls: OwnCallFailures;
-  /** Another process answers at the address. */
+  private readonly ownCallFailures: OwnCallFailures;
+  /** Whether another process answers at the address. */
   private isReplaced = false;
   private spec: UpstreamSpec;
 
@@ -71,7 +71,7 @@
     );
     this.doubt = new QuickDoubt(settings);
     this.durations = new UsualDurations();
-    this.ownCalls = new OwnCallFailures(settings.excusesFailures);
+    this.ownCallFailures = new OwnCallFailures(settings.excusesFailures);
     this.standing = new UpstreamStanding(name, sensitivity);
     this.refusals = new UpstreamRefusals(this.doubt, this.standing, retries);
   }
@@ -88,7 +88,7 @@
     return this.admission.occupied;
   }
 
-  /** Whether a call runs here that ran, or was sent, somewhere before. */
+  /** Whether a retry is running here. */
   get runsRepeats(): boolean {
     return [...this.running.values()].some(
       ({call, isSent}) => isSent && call.attempt > 1,
@@ -101,7 +101,7 @@
     this.standing.configure(sensitivity);
   }
 
-  /** The process that calls are meant for; undefined if unknown. */
+  /** The process that calls are addressed to; undefined if unknown. */
   get incarnation(): UpstreamIncarnation | undefined {
     return this.spec.incarnation;
   }
@@ -135,14 +135,14 @@
     return {state, occupied, limit, doubtedFor, probeIn};
   }
 
-  /** Why no call of this kind may come now; undefined when one may. */
+  /** Why calls of this kind are refused now; undefined if they are accepted. */
   refusalReason(now: number, call: GuardCall): RefusalReason | undefined {
     const {isDraining, isReplaced, isIdle} = this;
     const presence = {isDraining, isReplaced, isIdle};
     return this.refusals.reason(now, call, presence);
   }
 
-  /** When a refused call may find this upstream back, in milliseconds. */
+  /** Milliseconds after which a refused call may be offered again. */
   retryAfter(now: number): number {
     return Math.ceil(
       Math.max(this.standing.remainingHold(now), this.doubt.remaining(now)),
@@ -152,7 +152,7 @@
   offer(now: number, call: GuardCall): Offer {
     const offer = this.admission.offer(
       now,
-      waitingCall(call, this.usual(now, call)),
+      waitingCall(call, this.usualDuration(now, call)),
     );
     if (offer.kind === 'start') {
       this.start(now, call);
@@ -160,13 +160,13 @@
     return offer;
   }
 
-  /** A call has its slot; it is not sent yet. */
+  /** Records that a call got its slot; it is not sent yet. */
   start(now: number, call: GuardCall): void {
     this.running.set(call.id, {call, startedAt: now, isSent: false});
     this.doubt.started(now, this.expectedDuration(now, call));
   }
 
-  /** Sends a call that has its slot, unless it is a retry that nothing pays for. */
+  /** Sends a call that has its slot; false if the retry budget is exhausted. */
   send(now: number, call: GuardCall): boolean {
     if (!payForSending(now, call, this.retries)) {
       return false;
@@ -176,14 +176,14 @@
     return true;
   }
 
-  /** Gives back a slot whose call was never sent. */
+  /** Releases the slot of a call without counting its outcome. */
   release(now: number, callId: string): Freed {
     this.doubt.forget(callId);
     this.running.delete(callId);
     return this.admission.finish(now, callId, undefined);
   }
 
-  /** The upstream said that it did not run the call. */
+  /** Handles a call that the upstream refused without running it. */
   refused(
     now: number,
     callId: string,
@@ -198,7 +198,7 @@
     return this.admission.withdraw(callId);
   }
 
-  /** Calls that wait for a slot here. */
+  /** Calls that are waiting for a slot. */
   waiting(): readonly WaitingCall[] {
     return this.admission.waiting();
   }
@@ -207,7 +207,7 @@
     return this.admission.drainQueue();
   }
 
-  /** The upstream answered whole. */
+  /** Handles a complete answer. */
   answered(
     now: number,
     callId: string,
@@ -221,7 +221,7 @@
     } else if (!isFailure) {
       this.admission.succeeded();
     }
-    if (isFailure && this.ownCalls.explainsFailure(now)) {
+    if (isFailure && this.ownCallFailures.explainsFailure(now)) {
       this.doubt.forget(callId);
       return this.ended(now, callId, false);
     }
@@ -229,18 +229,22 @@
     if (!isFailure) {
       this.durations.add(now, this.running.get(callId));
     }
-    this.observe(now, callId, isError ? 'error' : this.pace(now, callId));
+    this.observe(
+      now,
+      callId,
+      isError ? 'error' : this.successEvidence(now, callId),
+    );
     return this.ended(now, callId, isError);
   }
 
-  /** A call that began on this box, maybe by the upstream, failed. */
+  /** Records that a call from this box, possibly by the upstream, failed. */
   ownCallFailed(now: number): void {
-    this.ownCalls.failed(now);
+    this.ownCallFailures.failed(now);
   }
 
-  /** The exchange broke, or took longer than its caller could wait. */
-  failed(now: number, callId: string, isUpstreamsFault: boolean): CallEnd {
-    if (isUpstreamsFault) {
+  /** Handles an exchange that broke or exceeded its deadline. */
+  failed(now: number, callId: string, isUpstreamFault: boolean): CallEnd {
+    if (isUpstreamFault) {
       this.observe(now, callId, 'broken');
       return this.ended(now, callId, true);
     }
@@ -252,7 +256,7 @@
     return this.running.get(callId)?.isSent === true;
   }
 
-  /** Whether a running call has taken far longer than its kind does. */
+  /** Whether a running call has taken far longer than is usual for its kind. */
   isOverdue(now: number, callId: string): boolean {
     const running = this.running.get(callId);
     return running !== undefined && this.standing.isOverdue(now, running);
@@ -267,7 +271,7 @@
     return {freed: this.admission.review(now), changes};
   }
 
-  /** What the holder of the floor is told. */
+  /** The report to the permit holder. */
   report(
     now: number,
     identity: {readonly box: string; readonly incarnation: string},
@@ -289,8 +293,8 @@
       : state;
   }
 
-  /** Whether a call that ended well took far longer than its kind does. */
-  private pace(now: number, callId: string): CallEvidenceKind {
+  /** Whether a successful call took far longer than is usual for its kind. */
+  private successEvidence(now: number, callId: string): CallEvidenceKind {
     return this.isLate(now, callId) ? 'slow' : 'well';
   }
 
@@ -299,12 +303,12 @@
     return running !== undefined && isLate(now, running, this.spec.coldUntil);
   }
 
-  /** The usual duration of a call, or the presumed one while none is known. */
+  /** The usual duration of a call, or an estimate while none is known. */
   private expectedDuration(now: number, call: GuardCall): number | undefined {
-    return this.usual(now, call) ?? presumedDuration(now, call);
+    return this.usualDuration(now, call) ?? presumedDuration(now, call);
   }
 
-  private usual(now: number, call: GuardCall): number | undefined {
+  private usualDuration(now: number, call: GuardCall): number | undefined {
     const isCold = now < (this.spec.coldUntil ?? 0);
     return this.durations.of(call, isCold);
   }
@@ -323,7 +327,7 @@
     if (change?.change === 'returned') {
       this.admission.cool();
     }
-    // How long a failure took says nothing of how long slots are held.
+    // The duration of a failed call is no measure of how long slots are held.
     const milliseconds = failed ? undefined : now - running.startedAt;
     const freed = this.admission.finish(now, callId, milliseconds);
     return {freed, change};
--- a/packages/brain/src/guard/upstreamRefusals.ts
+++ b/packages/brain/src/guard/upstreamRefusals.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Why one upstream takes no call of a kind now. */
+/** Refusals of calls by one upstream before slots are considered. */
 
 import type {RetryAllowance} from '@lockpin/routing';
 import type {RefusalReason} from '@lockpin/types';
@@ -7,16 +7,16 @@
 import type {QuickDoubt} from './quickDoubt.js';
 import type {UpstreamStanding} from './upstreamStanding.js';
 
-/** How the upstream is, besides what doubt and standing say of it. */
+/** State of the upstream other than its doubt and standing. */
 export interface UpstreamPresence {
   readonly isDraining: boolean;
-  /** Another process answers at the address. */
+  /** Whether another process answers at the address. */
   readonly isReplaced: boolean;
-  /** No call has a slot. */
+  /** Whether no call holds a slot. */
   readonly isIdle: boolean;
 }
 
-/** Refuses calls for what they are, before there is any question of a slot. */
+/** Decides on refusals that do not depend on free slots. */
 export class UpstreamRefusals {
   constructor(
     private readonly doubt: QuickDoubt,
@@ -24,7 +24,7 @@
     private readonly retries: RetryAllowance,
   ) {}
 
-  /** Why no call of this kind may come now; undefined when one may. */
+  /** Why calls of this kind are refused now; undefined if they are accepted. */
   reason(
     now: number,
     call: GuardCall,
@@ -50,11 +50,11 @@
   private isDoubtedFor(now: number, call: GuardCall, isIdle: boolean): boolean {
     return (
       (this.doubt.isDoubted(now) && !this.mayRunDoubted(now, call)) ||
-      (this.doubt.isUncertain(now, isIdle) && cannotFindOut(call))
+      (this.doubt.isUncertain(now, isIdle) && cannotProbe(call))
     );
   }
 
-  /** Repeatable calls find out how it is; others only when all are doubted. */
+  /** Repeatable calls serve as probes; others run only if all are doubted. */
   private mayRunDoubted(now: number, call: GuardCall): boolean {
     const isProbe =
       call.repetition === 'repeatable' &&
@@ -63,7 +63,7 @@
     return isProbe || call.mayRunDoubted === true;
   }
 
-  /** Whether an ejection refuses the call; probation admits one probe at a time. */
+  /** Whether an ejection refuses the call; probes run one at a time. */
   private isEjectedFor(now: number, call: GuardCall, isIdle: boolean): boolean {
     const {state} = this.standing;
     const mayProbe = isIdle && this.standing.mayProbe(now, call);
@@ -71,7 +71,7 @@
   }
 }
 
-/** A call that cannot be repeated had better not be the one to find out. */
-function cannotFindOut(call: GuardCall): boolean {
+/** Calls that cannot be repeated must not serve as probes. */
+function cannotProbe(call: GuardCall): boolean {
   return call.repetition === 'at-most-once' && call.mayRunDoubted !== true;
 }
--- a/packages/brain/src/guard/upstreamStanding.ts
+++ b/packages/brain/src/guard/upstreamStanding.ts
@@ -13,13 +13,13 @@
 import type {GuardCall} from './guardMessages.js';
 import type {RunningCall} from './runningCall.js';
 
-/** A change of an upstream's standing, for the time line. */
+/** A change of an upstream's standing, for the timeline. */
 export interface StandingChange {
   readonly change: CycleChange;
   readonly verdict: Verdict;
 }
 
-/** Judges an upstream by its calls; ejects it when the holder permits. */
+/** Evaluates an upstream by its calls; ejects it when the holder permits. */
 export class UpstreamStanding {
   private readonly detector: GrayDetector;
   private readonly cycle: EjectionCycle;
@@ -27,7 +27,7 @@
   private severity = 0;
   private sequence = 0;
   private lastDenial = '';
-  private wasSuspectInReport = false;
+  private wasReportedSuspect = false;
 
   constructor(
     private readonly name: string,
@@ -52,12 +52,12 @@
     return this.lastVerdict.suspect;
   }
 
-  /** Why the floor or a shared cause keeps a condemned upstream, if it does. */
+  /** Why a condemned upstream was last denied a permit; otherwise empty. */
   get denial(): string {
     return this.condemned ? this.lastDenial : '';
   }
 
-  /** How much longer it stays ejected, in milliseconds. */
+  /** Remaining duration of the ejection, in milliseconds. */
   remainingHold(now: number): number {
     return this.cycle.remainingHold(now);
   }
@@ -67,12 +67,12 @@
     return this.cycle.mayProbe(now, repetition === 'repeatable');
   }
 
-  /** Whether a running call has taken far longer than its kind does. */
+  /** Whether a running call has taken far longer than is typical of peers. */
   isOverdue(now: number, {call, startedAt}: RunningCall): boolean {
     return now - startedAt > this.detector.slowAfter(call.route);
   }
 
-  /** A call ended: evidence, and after an ejection the outcome of a probe. */
+  /** Records the outcome of a call, which may be a probe on probation. */
   ended(
     now: number,
     running: RunningCall,
@@ -81,20 +81,23 @@
     const {route, customer} = running.call;
     const milliseconds = now - running.startedAt;
     this.detector.observe(now, {route, customer, failed, milliseconds});
-    return this.probed(now, failed, milliseconds, running) ?? this.judge(now);
+    return this.probed(now, failed, milliseconds, running) ?? this.assess(now);
   }
 
-  /** Looks at what time alone may change. */
+  /** Applies changes that are due to elapsed time. */
   review(
     now: number,
     running: Iterable<RunningCall>,
   ): readonly StandingChange[] {
     this.detector.closeSpan(now, () => this.countOverdue(now, running));
-    const changes = [this.judge(now), this.noted(this.cycle.review(now))];
+    const changes = [
+      this.assess(now),
+      this.standingChange(this.cycle.review(now)),
+    ];
     return changes.filter((change) => change !== undefined);
   }
 
-  /** What the holder of the floor is told. */
+  /** The report to the permit holder. */
   report(
     now: number,
     identity: {readonly box: string; readonly incarnation: string},
@@ -102,7 +105,7 @@
     isDraining: boolean,
   ): GuardReport {
     this.sequence += 1;
-    this.wasSuspectInReport = this.lastVerdict.suspect;
+    this.wasReportedSuspect = this.lastVerdict.suspect;
     return {
       ...identity,
       upstream: this.name,
@@ -118,13 +121,15 @@
     };
   }
 
-  /** Takes in the holder's answer. */
+  /** Applies the reply of the permit holder. */
   replied(now: number, reply: HolderReply): StandingChange | undefined {
     this.detector.setBaseline(reply.baseline);
     const {decision} = reply;
     switch (decision.kind) {
       case 'granted': {
-        const change = this.noted(this.cycle.granted(now, decision.request));
+        const change = this.standingChange(
+          this.cycle.granted(now, decision.request),
+        );
         if (change !== undefined) {
           this.severity = this.lastVerdict.severity;
           this.resetEvidence(now);
@@ -132,7 +137,7 @@
         return change;
       }
       case 'revoked':
-        return this.noted(this.cycle.revoked(now));
+        return this.standingChange(this.cycle.revoked(now));
       case 'denied':
         this.lastDenial = decision.reason;
         return undefined;
@@ -141,9 +146,9 @@
     }
   }
 
-  /** Whether the holder should hear at once, for it compares the peers. */
+  /** Whether the suspect state changed since the last report to the holder. */
   get hasNews(): boolean {
-    return this.lastVerdict.suspect !== this.wasSuspectInReport;
+    return this.lastVerdict.suspect !== this.wasReportedSuspect;
   }
 
   get condemned(): boolean {
@@ -177,10 +182,10 @@
     if (change === 'returned') {
       this.resetEvidence(now);
     }
-    return this.noted(change);
+    return this.standingChange(change);
   }
 
-  private judge(now: number): StandingChange | undefined {
+  private assess(now: number): StandingChange | undefined {
     if (this.cycle.holdsPermit) {
       return undefined;
     }
@@ -188,7 +193,7 @@
     const isStillSuspect =
       this.cycle.state === 'condemned' && this.lastVerdict.suspect;
     const condemned = this.lastVerdict.condemned || isStillSuspect;
-    return this.noted(this.cycle.judged(condemned));
+    return this.standingChange(this.cycle.judged(condemned));
   }
 
   private resetEvidence(now: number): void {
@@ -196,7 +201,9 @@
     this.lastVerdict = this.detector.verdict(now);
   }
 
-  private noted(change: CycleChange | undefined): StandingChange | undefined {
+  private standingChange(
+    change: CycleChange | undefined,
+  ): StandingChange | undefined {
     return change === undefined
       ? undefined
       : {change, verdict: this.lastVerdict};
--- a/packages/brain/src/guard/waitingCall.ts
+++ b/packages/brain/src/guard/waitingCall.ts
@@ -1,10 +1,10 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** A guard's call as admission sees it. */
+/** Conversion of a guard's call for admission. */
 
 import type {WaitingCall} from '@lockpin/admission';
 import type {GuardCall} from './guardMessages.js';
 
-/** Leaves out what has no bearing on when a call has its slot. */
+/** Selects the properties that decide when a call gets its slot. */
 export function waitingCall(
   call: GuardCall,
   expectedMilliseconds: number | undefined,
--- a/packages/detection/src/__tests__/doubt.test.ts
+++ b/packages/detection/src/__tests__/doubt.test.ts
@@ -1,17 +1,17 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** When ordinary work is kept from an upstream after a few bad calls. */
+/** Begin, duration and end of short-term doubt about an upstream. */
 
 import {describe, expect, it} from 'vitest';
 import {Doubt} from '../doubt.js';
 
 describe('Doubt', () => {
-  it('begins with one broken exchange', () => {
+  it('begins after a single broken call', () => {
     const doubt = new Doubt();
     expect(doubt.observe(0, 'broken')).toBe(true);
     expect(doubt.isDoubted(1)).toBe(true);
   });
 
-  it('takes two failures in a row, so that the odd one changes nothing', () => {
+  it('begins after two consecutive failures, but not after isolated ones', () => {
     const doubt = new Doubt();
     for (let now = 0; now < 1000; now += 100) {
       doubt.observe(now, now % 300 === 0 ? 'error' : 'well');
@@ -22,7 +22,7 @@
     expect(doubt.isDoubted(1002)).toBe(true);
   });
 
-  it('ends after two probes that end well', () => {
+  it('ends after two successful probes', () => {
     const doubt = new Doubt();
     doubt.observe(0, 'broken');
     doubt.observe(500, 'well');
@@ -32,13 +32,13 @@
     expect(doubt.isDoubted(601)).toBe(false);
   });
 
-  it('ends by itself where nothing probes', () => {
+  it('expires without probes', () => {
     const doubt = new Doubt();
     doubt.observe(0, 'broken');
     expect(doubt.isDoubted(2000)).toBe(false);
   });
 
-  it('lasts longer each time, up to a limit, and forgives', () => {
+  it('doubles its duration up to a limit, and resets after a quiet period', () => {
     const doubt = new Doubt();
     let now = 0;
     const lengths: number[] = [];
@@ -53,7 +53,7 @@
     expect(doubt.remaining(now)).toBe(2000);
   });
 
-  it('spaces probes out while they fail', () => {
+  it('increases the probe interval while probes fail', () => {
     const doubt = new Doubt();
     doubt.observe(0, 'broken');
     expect(doubt.untilProbe(0)).toBe(400);
--- a/packages/detection/src/__tests__/ejectionCycle.test.ts
+++ b/packages/detection/src/__tests__/ejectionCycle.test.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Out of service and back. */
+/** Ejection of an upstream and its return to service. */
 
 import {describe, expect, it} from 'vitest';
 import {EjectionCycle, PROBATION_CALLS} from '../ejectionCycle.js';
@@ -7,7 +7,7 @@
 
 const SETTINGS = DETECTION_SETTINGS.balanced;
 
-/** Condemns, ejects and waits for probation; returns how long the hold was. */
+/** Condemns and ejects, then waits for probation; returns the hold duration. */
 function ejectAndHold(cycle: EjectionCycle, now: number): number {
   cycle.judged(true);
   expect(cycle.granted(now, cycle.requestNumber)).toBe('ejected');
@@ -18,7 +18,7 @@
 }
 
 describe('EjectionCycle', () => {
-  it('returns after enough good calls, and not before', () => {
+  it('returns to service only after enough successful calls', () => {
     const cycle = new EjectionCycle(SETTINGS);
     const hold = ejectAndHold(cycle, 0);
     for (let i = 1; i < PROBATION_CALLS; i += 1) {
@@ -45,7 +45,7 @@
     expect(holds).toEqual([10_000, 20_000, 40_000, 80_000]);
   });
 
-  it('goes out again at the first bad call of its probation', () => {
+  it('ejects again after the first failed call on probation', () => {
     const cycle = new EjectionCycle(SETTINGS);
     const hold = ejectAndHold(cycle, 0);
     cycle.probed(hold, true);
@@ -53,7 +53,7 @@
     expect(cycle.remainingHold(hold + 1)).toBe(20_000);
   });
 
-  it('comes back at once when its permit is called back', () => {
+  it('returns to service at once when its permit is revoked', () => {
     const cycle = new EjectionCycle(SETTINGS);
     cycle.judged(true);
     const request = cycle.requestNumber;
--- a/packages/detection/src/__tests__/grayDetector.test.ts
+++ b/packages/detection/src/__tests__/grayDetector.test.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** What condemns an upstream and what does not. */
+/** Evidence that condemns an upstream, and evidence that must not. */
 
 import {describe, expect, it} from 'vitest';
 import {seededRandom} from '@lockpin/utils';
@@ -9,8 +9,8 @@
 import {DETECTION_SETTINGS} from '../sensitivity.js';
 import {SPAN_MILLISECONDS} from '../slownessTest.js';
 
-const GAP = 50;
-const TYPICAL = 25;
+const GAP_MILLISECONDS = 50;
+const TYPICAL_MILLISECONDS = 25;
 
 function baseline(
   change: Partial<PeerBaseline['calls'][string]> = {},
@@ -19,13 +19,13 @@
     weight: 100,
     failedShare: 0.002,
     slowShare: 0.02,
-    typicalMilliseconds: TYPICAL,
+    typicalMilliseconds: TYPICAL_MILLISECONDS,
     ...change,
   };
   return {calls: {'*': calls, read: calls, write: calls}, failingCustomers: []};
 }
 
-/** Feeds calls every 50 ms; returns when it condemned, or undefined. */
+/** Feeds a call every 50 ms; returns the detection time, or undefined. */
 function feed(
   detector: GrayDetector,
   calls: number,
@@ -33,12 +33,12 @@
   startAt = 0,
 ): number | undefined {
   for (let i = 0; i < calls; i += 1) {
-    const now = startAt + i * GAP;
+    const now = startAt + i * GAP_MILLISECONDS;
     detector.observe(now, {
       route: 'read',
       customer: 'customer',
       failed: false,
-      milliseconds: TYPICAL,
+      milliseconds: TYPICAL_MILLISECONDS,
       ...make(i),
     });
     detector.closeSpan(now, () => new Map());
@@ -75,38 +75,39 @@
   });
 
   it('condemns an upstream that is slow', () => {
-    const slow = () => ({milliseconds: TYPICAL * 10});
+    const slow = () => ({milliseconds: TYPICAL_MILLISECONDS * 10});
     expect(feed(detector(), 100, slow)).toBeLessThan(3000);
   });
 
-  it('leaves an upstream alone that pauses now and then', () => {
+  it('does not condemn an upstream with occasional pauses', () => {
     const pausing = (i: number) => ({
-      milliseconds: i % 100 < 4 ? TYPICAL * 10 : TYPICAL,
+      milliseconds:
+        i % 100 < 4 ? TYPICAL_MILLISECONDS * 10 : TYPICAL_MILLISECONDS,
     });
     expect(feed(detector(), 10_000, pausing)).toBeUndefined();
   });
 
-  it('leaves an upstream alone that fails as its peers do', () => {
+  it('does not condemn an upstream that fails as often as its peers', () => {
     const random = seededRandom(2);
     const asPeers = () => ({failed: random() < 0.3});
     const among = detector({failedShare: 0.3});
     expect(feed(among, 4000, asPeers)).toBeUndefined();
   });
 
-  it('condemns nobody for the calls of one customer among several', () => {
+  it('does not condemn for failures of one customer among several', () => {
     const poisoned = (i: number) =>
       i % 2 === 0 ? {customer: 'poisoned', failed: true} : {customer: 'other'};
     expect(feed(detector(), 1000, poisoned)).toBeUndefined();
   });
 
-  it('takes no account of a customer that fails on several upstreams', () => {
+  it('ignores a customer whose calls fail on several upstreams', () => {
     const made = new GrayDetector(DETECTION_SETTINGS.balanced);
     made.setBaseline({...baseline(), failingCustomers: ['poisoned']});
     const alone = () => ({customer: 'poisoned', failed: true});
     expect(feed(made, 1000, alone)).toBeUndefined();
   });
 
-  it('condemns an upstream whose calls hang without an end', () => {
+  it('condemns an upstream whose calls never end', () => {
     const made = detector();
     let condemnedAt: number | undefined;
     for (let now = 0; now < 5000; now += SPAN_MILLISECONDS) {
@@ -123,7 +124,7 @@
     expect(condemnedAt).toBeLessThan(3000);
   });
 
-  it('does not condemn for a single call that takes long', () => {
+  it('does not condemn for a single long call', () => {
     const made = detector();
     for (let now = 0; now < 20_000; now += SPAN_MILLISECONDS) {
       made.closeSpan(
@@ -138,15 +139,15 @@
     }
   });
 
-  it('drops evidence of slowness when the norm rises', () => {
+  it('discards evidence of slowness when the peer baseline rises', () => {
     const made = detector();
-    feed(made, 14, () => ({milliseconds: TYPICAL * 3}));
+    feed(made, 14, () => ({milliseconds: TYPICAL_MILLISECONDS * 3}));
     expect(made.verdict(700).severity).toBeGreaterThan(0.2);
-    made.setBaseline(baseline({typicalMilliseconds: TYPICAL * 3}));
+    made.setBaseline(baseline({typicalMilliseconds: TYPICAL_MILLISECONDS * 3}));
     expect(made.verdict(700).severity).toBe(0);
   });
 
-  it('judges nobody slow without peers to compare with', () => {
+  it('does not test for slowness without peers to compare with', () => {
     const alone = new GrayDetector(DETECTION_SETTINGS.fast);
     const slow = () => ({milliseconds: 60_000});
     expect(feed(alone, 500, slow)).toBeUndefined();
--- a/packages/detection/src/callStatistics.ts
+++ b/packages/detection/src/callStatistics.ts
@@ -1,38 +1,41 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Decaying statistics of one kind of call on one upstream. */
+/** Exponentially decaying statistics of one kind of call on one upstream. */
 
-/** What a guard tells of one kind of call. */
+/** Statistics of one kind of call, as a guard reports them. */
 export interface CallSummary {
-  /** Calls seen, older ones counting less. */
+  /** Number of calls seen, with older ones weighted less. */
   readonly weight: number;
   readonly failedShare: number;
-  /** Share of short spans of time in which most calls were slow. */
+  /** Share of short time windows in which most calls were slow. */
   readonly slowShare: number;
-  /** Geometric mean of the time calls took, in milliseconds. */
+  /** Geometric mean of call durations, in milliseconds. */
   readonly typicalMilliseconds: number;
 }
 
-/** Milliseconds after which a call counts for about a third. */
-const MEMORY_MILLISECONDS = 5000;
+/** Time constant of the decay: by then a call counts for about a third. */
+const DECAY_MILLISECONDS = 5000;
 
-const SHORTEST_MILLISECONDS = 0.1;
+/** Lower bound of durations, whose logarithm would diverge near zero. */
+const MINIMUM_DURATION_MILLISECONDS = 0.1;
 
-/** Exponentially decaying counts, by time rather than by call. */
+/** Keeps counts that decay with time rather than with each call. */
 export class CallStatistics {
   private weight = 0;
   private failed = 0;
   private timed = 0;
-  private logTime = 0;
+  private logDurationSum = 0;
   private decayedAt = 0;
 
-  /** Takes in one call; the time is undefined for a call that failed. */
+  /** Records a call; the duration is undefined for a call that failed. */
   add(now: number, failed: boolean, milliseconds: number | undefined): void {
     this.decay(now);
     this.weight += 1;
     this.failed += failed ? 1 : 0;
     if (milliseconds !== undefined) {
       this.timed += 1;
-      this.logTime += Math.log(Math.max(SHORTEST_MILLISECONDS, milliseconds));
+      this.logDurationSum += Math.log(
+        Math.max(MINIMUM_DURATION_MILLISECONDS, milliseconds),
+      );
     }
   }
 
@@ -43,16 +46,17 @@
       weight,
       failedShare: weight === 0 ? 0 : this.failed / weight,
       slowShare,
-      typicalMilliseconds: timed === 0 ? 0 : Math.exp(this.logTime / timed),
+      typicalMilliseconds:
+        timed === 0 ? 0 : Math.exp(this.logDurationSum / timed),
     };
   }
 
   private decay(now: number): void {
-    const factor = Math.exp((this.decayedAt - now) / MEMORY_MILLISECONDS);
+    const factor = Math.exp((this.decayedAt - now) / DECAY_MILLISECONDS);
     this.decayedAt = now;
     this.weight *= factor;
     this.failed *= factor;
     this.timed *= factor;
-    this.logTime *= factor;
+    this.logDurationSum *= factor;
   }
 }
--- a/packages/detection/src/cumulativeSum.ts
+++ b/packages/detection/src/cumulativeSum.ts
@@ -1,14 +1,14 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** A one-sided cumulative sum test on a stream of yes and no. */
+/** One-sided cumulative sum (CUSUM) test on a stream of binary observations. */
 
-/** The share of yes when all is well, and the share worth finding. */
+/** The expected share of positive observations, and the share to detect. */
 export interface SequentialHypotheses {
   readonly expectedShare: number;
   readonly suspectShare: number;
 }
 
 /**
- * Page's cumulative sum of log likelihood ratios. It finds a change from the
+ * Page's cumulative sum of log likelihood ratios. It detects a change from the
  * expected to the suspect share with the least delay for a given rate of false
  * alarms; the mean number of calls between false alarms is at least the
  * exponential of the threshold.
@@ -21,26 +21,26 @@
     return this.sum;
   }
 
-  /** When the present rise from zero began, in milliseconds since 1970. */
+  /** When the score last rose from zero, in milliseconds since 1970. */
   get risingSince(): number {
     return this.since;
   }
 
-  /** The score stays below the most, so that a recovery shows in time. */
+  /** Adds an observation; the score is capped so that a recovery shows soon. */
   observe(
     now: number,
-    hit: boolean,
+    isPositive: boolean,
     expected: SequentialHypotheses,
-    most: number,
+    maximum: number,
   ): void {
     const {expectedShare, suspectShare} = expected;
-    const ratio = hit
+    const ratio = isPositive
       ? suspectShare / expectedShare
       : (1 - suspectShare) / (1 - expectedShare);
     if (this.sum === 0) {
       this.since = now;
     }
-    this.sum = Math.min(most, Math.max(0, this.sum + Math.log(ratio)));
+    this.sum = Math.min(maximum, Math.max(0, this.sum + Math.log(ratio)));
   }
 
   reset(): void {
--- a/packages/detection/src/customerEvidence.ts
+++ b/packages/detection/src/customerEvidence.ts
@@ -1,16 +1,19 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Whose calls fail, so that one customer's bad calls condemn no upstream. */
+/**
+ * Failures by customer, so that the bad calls of a single customer do not
+ * condemn an upstream.
+ */
 
 import {FAILING_CUSTOMER_SHARE} from './peerBaseline.js';
 
-/** Milliseconds after which a call counts for about a third. */
-const MEMORY_MILLISECONDS = 5000;
+/** Time constant of the decay: by then a call counts for about a third. */
+const DECAY_MILLISECONDS = 5000;
 
-/** Calls of a customer that must be seen before it counts. */
-const LEAST_CALLS = 3;
+/** Calls that must be seen before a customer is considered. */
+const MINIMUM_CALLS = 3;
 
-/** Share of failed calls of another customer that confirms the first. */
-const CONFIRMING_SHARE = 0.05;
+/** Share of failed calls at which a customer counts as affected. */
+const AFFECTED_CUSTOMER_SHARE = 0.05;
 
 interface Counts {
   calls: number;
@@ -18,7 +21,7 @@
   decayedAt: number;
 }
 
-/** Decaying counts of calls and failures by customer. */
+/** Keeps exponentially decaying counts of calls and failures by customer. */
 export class CustomerEvidence {
   private readonly counts = new Map<string, Counts>();
 
@@ -35,8 +38,8 @@
   }
 
   /**
-   * Whether the failures are not those of one customer alone: either only one
-   * customer calls, or a second one sees failures too.
+   * Whether the failures cannot be attributed to a single customer: at least
+   * two customers are affected, or there is only one to observe.
    */
   isShared(now: number): boolean {
     const active = this.active(now);
@@ -44,12 +47,12 @@
       return true;
     }
     const failing = active.filter(
-      ([, {calls, failed}]) => failed / calls >= CONFIRMING_SHARE,
+      ([, {calls, failed}]) => failed / calls >= AFFECTED_CUSTOMER_SHARE,
     );
     return failing.length >= 2;
   }
 
-  /** Customers of whose calls many failed. */
+  /** Customers with a high share of failed calls. */
   failing(now: number): readonly string[] {
     return this.active(now)
       .filter(([, {calls, failed}]) => failed / calls >= FAILING_CUSTOMER_SHARE)
@@ -60,9 +63,9 @@
     const active: (readonly [string, Counts])[] = [];
     for (const [customer, counts] of this.counts) {
       decay(counts, now);
-      if (counts.calls >= LEAST_CALLS) {
+      if (counts.calls >= MINIMUM_CALLS) {
         active.push([customer, counts]);
-      } else if (counts.calls < LEAST_CALLS / 100) {
+      } else if (counts.calls < MINIMUM_CALLS / 100) {
         this.counts.delete(customer);
       }
     }
@@ -71,7 +74,7 @@
 }
 
 function decay(counts: Counts, now: number): void {
-  const factor = Math.exp((counts.decayedAt - now) / MEMORY_MILLISECONDS);
+  const factor = Math.exp((counts.decayedAt - now) / DECAY_MILLISECONDS);
   counts.calls *= factor;
   counts.failed *= factor;
   counts.decayedAt = now;
--- a/packages/detection/src/doubt.ts
+++ b/packages/detection/src/doubt.ts
@@ -1,26 +1,27 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
 /**
- * Quick doubt about one upstream: a few bad calls in a row keep ordinary work
- * away for a moment, until probes by repeatable calls end well. It complements
- * the sequential tests, which are sure but need many calls.
+ * Short-term doubt about one upstream, much like a circuit breaker: a few bad
+ * calls in a row divert ordinary calls until probes by repeatable calls
+ * succeed. It complements the sequential tests, which are reliable but need
+ * many calls.
  */
 
-/** How a call to the upstream ended, as evidence. */
+/** The outcome of a call to the upstream, as evidence. */
 export type CallEvidenceKind =
   | 'well'
-  /** The connection broke, or the bytes were no answer to the call. */
+  /** The connection broke, or the received bytes were not a valid answer. */
   | 'broken'
-  /** The upstream's own failure status. */
+  /** The upstream answered with a failure status. */
   | 'error'
-  /** It said that it did not run the call although it had a free slot. */
+  /** The upstream refused to run the call although it had a free slot. */
   | 'refused'
-  /** It answered, far later than calls of this kind usually take. */
+  /** The answer took far longer than is usual for this kind of call. */
   | 'slow'
-  /** It leaves calls unanswered that healthy upstreams would have answered. */
+  /** Calls are unanswered that a healthy upstream would have answered. */
   | 'hanging';
 
-/** Weight of each kind; doubt begins when the decaying sum reaches DOUBT_AT. */
-const WEIGHT: Readonly<Record<Exclude<CallEvidenceKind, 'well'>, number>> = {
+/** Weight of each kind in the decaying score. */
+const WEIGHTS: Readonly<Record<Exclude<CallEvidenceKind, 'well'>, number>> = {
   broken: 1.5,
   error: 1,
   refused: 1,
@@ -29,50 +30,49 @@
 };
 
 /**
- * One broken call is enough, or sure signs that it hangs; it takes two of other kinds,
- * or three slow ones.
+ * Score at which doubt begins. One broken call or strong evidence of hanging is
+ * enough; it takes two calls of the other kinds, or three slow ones.
  */
-const DOUBT_AT = 1.5;
+const DOUBT_THRESHOLD = 1.5;
 
-/** What a further call leaves of the sum, by how it ended. */
-const KEPT_AFTER_BAD = 0.7;
-const KEPT_AFTER_GOOD = 0.4;
+/** Factors by which the score decays with each further call. */
+const DECAY_AFTER_BAD = 0.7;
+const DECAY_AFTER_GOOD = 0.4;
 
 /**
- * Time in doubt where no probe ends it: upstreams that reset most of their calls do so
- * for longer than a second.
+ * Duration of doubt unless probes end it earlier. Upstreams that reset most of
+ * their calls do so for longer than a second.
  */
-const FIRST_HOLD_MILLISECONDS = 2000;
+const INITIAL_HOLD_MILLISECONDS = 2000;
 
-/** The hold doubles with each strike, up to this. */
-const LONGEST_HOLD_MILLISECONDS = 8000;
+/** The duration doubles with each consecutive hold, up to this limit. */
+const MAXIMUM_HOLD_MILLISECONDS = 8000;
 
-/** After this long without doubt, the next one is a first one again. */
-const FORGIVEN_AFTER_MILLISECONDS = 8000;
+/** After this long without doubt, the duration starts at the initial value. */
+const HOLD_RESET_MILLISECONDS = 8000;
 
 /**
- * Time between probes while in doubt, doubled with each that fails: a failed
- * probe costs its caller time and the fleet a retry.
+ * Time between probes while in doubt. It doubles with each failed probe, since
+ * a failed probe costs its caller time and the fleet a retry.
  */
-const FIRST_PROBE_MILLISECONDS = 400;
+const INITIAL_PROBE_INTERVAL_MILLISECONDS = 400;
 
-/** The longest time between probes. */
-const LONGEST_PROBE_MILLISECONDS = 1000;
+const MAXIMUM_PROBE_INTERVAL_MILLISECONDS = 1000;
 
-/** Probes in a row that must end well. */
+/** Consecutive successful probes that end doubt. */
 const PROBES_TO_CLEAR = 2;
 
-/** The standing of one upstream by its last calls. */
+/** Tracks whether one upstream is doubted, from the outcome of recent calls. */
 export class Doubt {
-  private sum = 0;
-  private until = 0;
-  private strikes = 0;
+  private score = 0;
+  private doubtedUntil = 0;
+  private consecutiveHolds = 0;
   private nextProbeAt = 0;
-  private clearedProbes = 0;
+  private successfulProbes = 0;
   private hasEverAnswered = false;
   private lastCause: CallEvidenceKind | 'none' = 'none';
 
-  /** Whether the upstream has answered a call well since it is known here. */
+  /** Whether any call to the upstream has succeeded since it became known. */
   get isProven(): boolean {
     return this.hasEverAnswered;
   }
@@ -82,37 +82,37 @@
     return this.lastCause;
   }
 
-  /** Whether ordinary work should go elsewhere. */
+  /** Whether ordinary calls should be routed to other upstreams. */
   isDoubted(now: number): boolean {
-    return now < this.until;
+    return now < this.doubtedUntil;
   }
 
-  /** Milliseconds until ordinary work may come again. */
+  /** Milliseconds until ordinary calls are accepted again. */
   remaining(now: number): number {
-    return Math.max(0, this.until - now);
+    return Math.max(0, this.doubtedUntil - now);
   }
 
-  /** Milliseconds until a repeatable call may find out how the upstream is. */
+  /** Milliseconds until a repeatable call may probe the upstream. */
   untilProbe(now: number): number {
     return Math.max(0, this.nextProbeAt - now);
   }
 
-  /** A repeatable call was sent to find out. */
+  /** Records that a repeatable call was sent as a probe. */
   probed(now: number): void {
     this.nextProbeAt = now + this.probeInterval();
   }
 
-  /** Takes in one piece of evidence; true when the standing changed. */
+  /** Records the outcome of a call; true when doubt began or ended. */
   observe(now: number, kind: CallEvidenceKind): boolean {
     const before = this.isDoubted(now);
     if (kind === 'well') {
       this.hasEverAnswered = true;
-      this.sum *= KEPT_AFTER_GOOD;
-      this.probeEndedWell(now);
+      this.score *= DECAY_AFTER_GOOD;
+      this.recordSuccessfulProbe(now);
     } else {
-      this.sum = this.sum * KEPT_AFTER_BAD + WEIGHT[kind];
-      this.clearedProbes = 0;
-      if (before || this.sum >= DOUBT_AT) {
+      this.score = this.score * DECAY_AFTER_BAD + WEIGHTS[kind];
+      this.successfulProbes = 0;
+      if (before || this.score >= DOUBT_THRESHOLD) {
         this.lastCause = kind;
         this.hold(now);
       }
@@ -120,35 +120,35 @@
     return before !== this.isDoubted(now);
   }
 
-  private probeEndedWell(now: number): void {
+  private recordSuccessfulProbe(now: number): void {
     if (!this.isDoubted(now)) {
       return;
     }
-    this.clearedProbes += 1;
+    this.successfulProbes += 1;
     this.nextProbeAt = now;
-    if (this.clearedProbes >= PROBES_TO_CLEAR) {
-      this.until = now;
-      this.sum = 0;
+    if (this.successfulProbes >= PROBES_TO_CLEAR) {
+      this.doubtedUntil = now;
+      this.score = 0;
     }
   }
 
   private hold(now: number): void {
-    if (now - this.until > FORGIVEN_AFTER_MILLISECONDS) {
-      this.strikes = 0;
+    if (now - this.doubtedUntil > HOLD_RESET_MILLISECONDS) {
+      this.consecutiveHolds = 0;
     }
-    const length = FIRST_HOLD_MILLISECONDS * 2 ** this.strikes;
-    this.until = now + Math.min(LONGEST_HOLD_MILLISECONDS, length);
-    this.strikes += 1;
+    const length = INITIAL_HOLD_MILLISECONDS * 2 ** this.consecutiveHolds;
+    this.doubtedUntil = now + Math.min(MAXIMUM_HOLD_MILLISECONDS, length);
+    this.consecutiveHolds += 1;
     this.nextProbeAt = now + this.probeInterval();
-    this.clearedProbes = 0;
-    this.sum = 0;
+    this.successfulProbes = 0;
+    this.score = 0;
   }
 
   private probeInterval(): number {
-    const doublings = Math.max(0, this.strikes - 1);
+    const doublings = Math.max(0, this.consecutiveHolds - 1);
     return Math.min(
-      LONGEST_PROBE_MILLISECONDS,
-      FIRST_PROBE_MILLISECONDS * 2 ** doublings,
+      MAXIMUM_PROBE_INTERVAL_MILLISECONDS,
+      INITIAL_PROBE_INTERVAL_MILLISECONDS * 2 ** doublings,
     );
   }
 }
--- a/packages/detection/src/ejectionCycle.ts
+++ b/packages/detection/src/ejectionCycle.ts
@@ -1,21 +1,24 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** The way of one upstream out of service and, cautiously, back. */
+/** State machine for the ejection of one upstream and its gradual return. */
 
 import type {DetectionSettings} from './sensitivity.js';
 
-/** Where an upstream stands. */
+/** State of an upstream in the cycle. */
 export type CycleState = 'in-service' | 'condemned' | 'ejected' | 'probation';
 
-/** Calls that must end well before an upstream is back in service. */
+/** Calls that must succeed before an upstream returns to service. */
 export const PROBATION_CALLS = 8;
 
-/** Holds grow up to this, in milliseconds. */
-const LONGEST_HOLD = 300_000;
+/** Upper limit of the duration of an ejection, in milliseconds. */
+const MAXIMUM_HOLD_MILLISECONDS = 300_000;
 
-/** In service this long, an earlier ejection is forgotten. */
-const FORGIVEN_AFTER = 600_000;
+/**
+ * After this many milliseconds in service, the next ejection has the initial
+ * duration again.
+ */
+const HOLD_RESET_MILLISECONDS = 600_000;
 
-/** What a transition led to, for the time line. */
+/** A state transition, as recorded in the timeline. */
 export type CycleChange =
   | 'condemned'
   | 'acquitted'
@@ -26,8 +29,8 @@
   | 'permit-revoked';
 
 /**
- * A condemned upstream is ejected once its permit is there. The permit is kept
- * through probation, so that a relapse needs no new one.
+ * Ejects a condemned upstream once its permit is granted. The permit is kept
+ * during probation, so that a relapse does not need a new one.
  */
 export class EjectionCycle {
   private current: CycleState = 'in-service';
@@ -35,9 +38,9 @@
   private ejections = 0;
   private lastReturn = 0;
   private successes = 0;
-  /** Until then, only repeatable calls may be probes. */
+  /** Time until which only repeatable calls may be probes. */
   private repeatableOnlyUntil = 0;
-  /** Number of the request for a permit; grants of others are ignored. */
+  /** Number of the current permit request; grants for others are ignored. */
   private request = 0;
 
   constructor(private settings: DetectionSettings) {}
@@ -55,7 +58,7 @@
     return this.current === 'ejected' || this.current === 'probation';
   }
 
-  /** Milliseconds until new work may be worth offering. */
+  /** Milliseconds until the ejection ends and probation begins. */
   remainingHold(now: number): number {
     return this.current === 'ejected' ? Math.max(0, this.holdUntil - now) : 0;
   }
@@ -64,7 +67,7 @@
     this.settings = settings;
   }
 
-  /** The evidence of real calls, while in service. */
+  /** Applies the verdict on the evidence of real calls, while in service. */
   judged(condemned: boolean): CycleChange | undefined {
     if (this.current === 'in-service' && condemned) {
       this.current = 'condemned';
@@ -76,20 +79,20 @@
     return undefined;
   }
 
-  /** The permit holder granted a request. */
+  /** Handles the grant of a permit request by the permit holder. */
   granted(now: number, request: number): CycleChange | undefined {
     if (this.current !== 'condemned' || request !== this.request) {
       return undefined;
     }
     this.current = 'ejected';
-    if (now - this.lastReturn > FORGIVEN_AFTER) {
+    if (now - this.lastReturn > HOLD_RESET_MILLISECONDS) {
       this.ejections = 0;
     }
     this.hold(now);
     return 'ejected';
   }
 
-  /** The floor needs this upstream back. */
+  /** Handles the revocation of the permit when the floor needs the slots. */
   revoked(now: number): CycleChange | undefined {
     if (!this.holdsPermit) {
       return undefined;
@@ -98,7 +101,7 @@
     return this.release('permit-revoked');
   }
 
-  /** Time passed. */
+  /** Begins probation once the ejection is over. */
   review(now: number): CycleChange | undefined {
     if (this.current === 'ejected' && now >= this.holdUntil) {
       this.current = 'probation';
@@ -110,9 +113,9 @@
   }
 
   /**
-   * Whether a call may probe an upstream on probation. Non-repeatable calls may once
-   * the first hold has passed without a repeatable probe; otherwise probation would
-   * never end in a service without repeatable calls.
+   * Whether a call may probe an upstream on probation. Non-repeatable calls may
+   * once the initial ejection duration has passed without a repeatable probe;
+   * otherwise probation would never end in a service without repeatable calls.
    */
   mayProbe(now: number, isRepeatable: boolean): boolean {
     return (
@@ -152,11 +155,11 @@
 
   private hold(now: number): void {
     const length = this.settings.firstHold * 2 ** this.ejections;
-    this.holdUntil = now + Math.min(LONGEST_HOLD, length);
+    this.holdUntil = now + Math.min(MAXIMUM_HOLD_MILLISECONDS, length);
     this.ejections += 1;
   }
 
-  /** Gives the permit back; a grant still under way no longer counts. */
+  /** Returns the permit; a grant that is still in transit no longer applies. */
   private release(change: CycleChange): CycleChange {
     this.current = 'in-service';
     this.request += 1;
--- a/packages/detection/src/grayDetector.ts
+++ b/packages/detection/src/grayDetector.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Finds out from real calls whether one upstream is worse than its peers. */
+/** Detects from real calls whether an upstream is worse than its peers. */
 
 import {CallStatistics} from './callStatistics.js';
 import type {CallSummary} from './callStatistics.js';
@@ -13,42 +13,45 @@
 
 /** One finished call. */
 export interface CallEvidence {
-  /** Kind of call: the name of its route. */
+  /** Name of the route, which identifies the kind of call. */
   readonly route: string;
   readonly customer: string;
-  /** The upstream's own failure; a caller's bad request is none. */
+  /** The upstream failed; a caller's invalid request does not count. */
   readonly failed: boolean;
   /** Milliseconds the upstream took. */
   readonly milliseconds: number;
 }
 
-/** What the evidence amounts to. */
+/** The result of evaluating the evidence. */
 export interface Verdict {
   readonly condemned: boolean;
   readonly suspect: boolean;
-  /** Score over threshold; the larger, the sicker. */
+  /** Score divided by its threshold; higher is worse. */
   readonly severity: number;
   readonly cause: 'errors' | 'slowness' | 'none';
   readonly route: string;
 }
 
-/** A call is slow when it takes this many times what is typical of peers. */
+/** A call is slow when it takes this many times the typical time of peers. */
 export const SLOW_FACTOR = 2.5;
 
-/** When the norm rises by this factor, evidence against the old one is void. */
-const NORM_CHANGED = 1.5;
+/**
+ * When the peers' typical time rises by this factor, evidence of slowness that
+ * was gathered against the earlier baseline is discarded.
+ */
+const BASELINE_RESET_FACTOR = 1.5;
 
-/** Failed calls that are normal, and the share worth finding. */
-const LEAST_EXPECTED_ERRORS = 0.005;
+/** Bounds on the share of failed calls expected, and on the share to detect. */
+const MINIMUM_EXPECTED_ERROR_SHARE = 0.005;
 const ERROR_MARGIN = 2;
-const LEAST_SUSPECT_ERRORS = 0.12;
-const MOST_EXPECTED_ERRORS = 0.8;
+const MINIMUM_SUSPECT_ERROR_SHARE = 0.12;
+const MAXIMUM_EXPECTED_ERROR_SHARE = 0.8;
 
-/** Kinds of call told to the holder: the busiest, all calls together included. */
-const MOST_REPORTED_KINDS = 7;
+/** Busiest kinds of call in a report to the holder, with ALL_CALLS included. */
+const MAXIMUM_REPORTED_KINDS = 7;
 
-/** Scores stop growing here, as a multiple of the threshold. */
-const MOST_SEVERITY = 1.5;
+/** Upper limit of the scores, as a multiple of the threshold. */
+const MAXIMUM_SEVERITY = 1.5;
 
 const NO_VERDICT: Verdict = {
   condemned: false,
@@ -64,12 +67,12 @@
   readonly statistics: CallStatistics;
 }
 
-/** Sequential tests per kind of call and over all calls of one upstream. */
+/** Runs sequential tests per kind of call and over all calls of an upstream. */
 export class GrayDetector {
   private readonly routes = new Map<string, RouteEvidence>();
   private readonly customers = new CustomerEvidence();
   private baseline: PeerBaseline | undefined;
-  private spanEndsAt = 0;
+  private windowEndsAt = 0;
 
   constructor(private settings: DetectionSettings) {}
 
@@ -77,14 +80,17 @@
     this.settings = settings;
   }
 
-  /** Takes in what is normal among the peers. */
+  /** Sets the statistics of the peers that this upstream is compared with. */
   setBaseline(baseline: PeerBaseline | undefined): void {
     const before = this.baseline;
     this.baseline = baseline;
     for (const [route, {slowness}] of this.routes) {
-      const was = before?.calls[route]?.typicalMilliseconds ?? 0;
-      const is = baseline?.calls[route]?.typicalMilliseconds ?? 0;
-      if (was > 0 && is > was * NORM_CHANGED) {
+      const previousTypical = before?.calls[route]?.typicalMilliseconds ?? 0;
+      const currentTypical = baseline?.calls[route]?.typicalMilliseconds ?? 0;
+      if (
+        previousTypical > 0 &&
+        currentTypical > previousTypical * BASELINE_RESET_FACTOR
+      ) {
         slowness.reset();
       }
     }
@@ -97,14 +103,14 @@
     return typical > 0 ? typical * SLOW_FACTOR : Number.POSITIVE_INFINITY;
   }
 
-  /** Takes in a finished call. */
+  /** Records a finished call. */
   observe(now: number, call: CallEvidence): void {
     const slow = call.milliseconds > this.slowAfter(call.route);
-    const timed = call.failed ? undefined : call.milliseconds;
+    const duration = call.failed ? undefined : call.milliseconds;
     this.customers.add(now, call.customer, call.failed);
     for (const route of [call.route, ALL_CALLS]) {
       const evidence = this.evidence(route);
-      evidence.statistics.add(now, call.failed, timed);
+      evidence.statistics.add(now, call.failed, duration);
       this.testErrors(now, route, evidence, call);
       if (!call.failed) {
         evidence.slowness.ended(slow);
@@ -113,29 +119,29 @@
   }
 
   /**
-   * Closes a span of time when one is over. The function says how many calls
-   * of each kind run now that should long have ended.
+   * Closes the current time window once it is over. The function counts the
+   * running calls of each kind that are overdue.
    */
   closeSpan(
     now: number,
     countOverdue: () => ReadonlyMap<string, number>,
   ): void {
-    if (now < this.spanEndsAt) {
+    if (now < this.windowEndsAt) {
       return;
     }
-    this.spanEndsAt = now + SPAN_MILLISECONDS;
+    this.windowEndsAt = now + SPAN_MILLISECONDS;
     const overdue = countOverdue();
     for (const route of overdue.keys()) {
       this.evidence(route);
     }
-    const most = this.settings.slowThreshold * MOST_SEVERITY;
+    const maximum = this.settings.slowThreshold * MAXIMUM_SEVERITY;
     for (const [route, {slowness}] of this.routes) {
       const peers = this.baselineOf(route)?.slowShare ?? 0;
-      slowness.closeSpan(now, overdue.get(route) ?? 0, peers, most);
+      slowness.closeSpan(now, overdue.get(route) ?? 0, peers, maximum);
     }
   }
 
-  /** What is to be told to the service's permit holder. */
+  /** The summary for the report to the service's permit holder. */
   summary(now: number): PeerSummary {
     const busiest = [...this.routes]
       .map(([route, {statistics, slowness}]) => ({
@@ -144,28 +150,28 @@
       }))
       .filter(({summary}) => summary.weight >= LEAST_COMPARED_WEIGHT)
       .sort((a, b) => b.summary.weight - a.summary.weight)
-      .slice(0, MOST_REPORTED_KINDS);
+      .slice(0, MAXIMUM_REPORTED_KINDS);
     const failing = this.customers.failing(now);
     return {
       calls: Object.fromEntries(
         busiest.map(({route, summary}) => [route, rounded(summary)]),
       ),
-      failingCustomers: failing.slice(0, MOST_REPORTED_KINDS),
+      failingCustomers: failing.slice(0, MAXIMUM_REPORTED_KINDS),
     };
   }
 
   verdict(now: number): Verdict {
     let worst = NO_VERDICT;
     for (const [route, evidence] of this.routes) {
-      const errors = this.judgeErrors(now, route, evidence);
-      const slowness = this.judgeSlowness(route, evidence);
+      const errors = this.errorVerdict(now, route, evidence);
+      const slowness = this.slownessVerdict(route, evidence);
       worst = errors.severity > worst.severity ? errors : worst;
       worst = slowness.severity > worst.severity ? slowness : worst;
     }
     return worst;
   }
 
-  /** Starts the tests anew, after an ejection or a return. */
+  /** Restarts the tests after an ejection or a return to service. */
   reset(): void {
     for (const {errors, slowness} of this.routes.values()) {
       errors.reset();
@@ -173,7 +179,7 @@
     }
   }
 
-  private judgeErrors(
+  private errorVerdict(
     now: number,
     route: string,
     {errors}: RouteEvidence,
@@ -187,7 +193,7 @@
     return {condemned: isCertain, suspect, severity, cause: 'errors', route};
   }
 
-  private judgeSlowness(route: string, {slowness}: RouteEvidence): Verdict {
+  private slownessVerdict(route: string, {slowness}: RouteEvidence): Verdict {
     const severity = slowness.score / this.settings.slowThreshold;
     return {
       condemned: severity >= 1,
@@ -208,8 +214,8 @@
       return;
     }
     const peers = this.baselineOf(route)?.failedShare ?? 0;
-    const most = this.settings.errorThreshold * MOST_SEVERITY;
-    errors.observe(now, call.failed, errorHypotheses(peers), most);
+    const maximum = this.settings.errorThreshold * MAXIMUM_SEVERITY;
+    errors.observe(now, call.failed, errorHypotheses(peers), maximum);
   }
 
   private baselineOf(route: string): CallSummary | undefined {
@@ -221,28 +227,28 @@
     if (found !== undefined) {
       return found;
     }
-    const made = {
+    const created = {
       errors: new CumulativeSum(),
       slowness: new SlownessTest(),
       statistics: new CallStatistics(),
     };
-    this.routes.set(route, made);
-    return made;
+    this.routes.set(route, created);
+    return created;
   }
 }
 
 function errorHypotheses(peers: number): SequentialHypotheses {
   const expectedShare = Math.min(
-    MOST_EXPECTED_ERRORS,
-    Math.max(LEAST_EXPECTED_ERRORS, peers * ERROR_MARGIN),
+    MAXIMUM_EXPECTED_ERROR_SHARE,
+    Math.max(MINIMUM_EXPECTED_ERROR_SHARE, peers * ERROR_MARGIN),
   );
-  const isRare = expectedShare <= LEAST_SUSPECT_ERRORS / 2;
+  const isRare = expectedShare <= MINIMUM_SUSPECT_ERROR_SHARE / 2;
   const halfway = expectedShare + (1 - expectedShare) / 2;
-  const suspectShare = isRare ? LEAST_SUSPECT_ERRORS : halfway;
+  const suspectShare = isRare ? MINIMUM_SUSPECT_ERROR_SHARE : halfway;
   return {expectedShare, suspectShare};
 }
 
-/** Three digits say enough, and take fewer bytes on the way. */
+/** Rounds to three significant digits to keep reports small. */
 function rounded(summary: CallSummary): CallSummary {
   const round = (value: number): number => Number(value.toPrecision(3));
   return {
--- a/packages/detection/src/hangEvidence.ts
+++ b/packages/detection/src/hangEvidence.ts
@@ -1,55 +1,56 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
 /**
- * Whether an upstream has begun to hang, from the calls that it has not answered.
- * A limit on the time of one call has to be several times what is usual, since some
- * calls of a healthy upstream take long. Several calls that all are late say more
- * than one, and answers to calls that began later speak against it. This is a
- * sequential test over the calls in the order in which they began: the largest sum of
- * log likelihood ratios over any last part of them.
+ * Detects from unanswered calls whether an upstream has begun to hang. A
+ * timeout for a single call has to be several times the usual duration, since
+ * some calls to a healthy upstream take long. Several late calls are stronger
+ * evidence than one, and answers to calls that began later are evidence against
+ * a hang. The sequential test takes the calls in the order in which they began:
+ * its score is the largest sum of log likelihood ratios over any suffix of
+ * them.
  */
 
-/** Share of the calls that an upstream leaves unanswered while it hangs. */
+/** Share of calls that a hanging upstream leaves unanswered. */
 const HANGING_SHARE = 0.6;
 
 /**
- * Shape of the log-logistic distribution of durations, near a log-normal one with a
- * deviation of 0.7.
+ * Shape of the log-logistic distribution of durations, which is close to a
+ * log-normal distribution with a standard deviation of 0.7.
  */
 const DURATION_SHAPE = 2.4;
 
-/** Scheduling delays that say nothing of the upstream, in milliseconds. */
+/** Allowance for scheduling delays, in milliseconds. */
 const ALLOWANCE_MILLISECONDS = 40;
 
-/** Calls remembered; evidence older than these has been superseded. */
-const MOST_CALLS = 32;
+/** Number of latest calls kept; older evidence has been superseded. */
+const MAXIMUM_CALLS = 32;
 
-/** How much one call can say: it may simply be an unusual one. */
-const MOST_OF_ONE_CALL = 2.5;
+/** Upper limit of the evidence from one call, which may just be an outlier. */
+const MAXIMUM_EVIDENCE_PER_CALL = 2.5;
 
-/** An answer is this much less likely from an upstream that hangs. */
-const OF_AN_ANSWER = Math.log(1 - HANGING_SHARE);
+/** Log likelihood ratio of an answer, which is less likely during a hang. */
+const ANSWER_LOG_RATIO = Math.log(1 - HANGING_SHARE);
 
 interface TrackedCall {
   readonly id: string;
   readonly startedAt: number;
-  /** What is usual for its kind; undefined when not known. */
+  /** Usual duration in milliseconds; undefined if unknown. */
   readonly usual: number | undefined;
   isAnswered: boolean;
 }
 
-/** Keeps the last calls of one upstream. */
+/** Tracks the latest calls to one upstream. */
 export class HangEvidence {
   private calls: TrackedCall[] = [];
 
-  /** A call was sent to the upstream. */
+  /** Records that a call was sent to the upstream. */
   started(now: number, id: string, usual: number | undefined): void {
     this.calls.push({id, startedAt: now, usual, isAnswered: false});
-    if (this.calls.length > MOST_CALLS) {
+    if (this.calls.length > MAXIMUM_CALLS) {
       this.calls.shift();
     }
   }
 
-  /** The upstream answered a call, whatever it said. */
+  /** Records that the upstream answered a call, whatever the status. */
   answered(id: string): void {
     const call = this.calls.find((known) => known.id === id);
     if (call !== undefined) {
@@ -57,37 +58,37 @@
     }
   }
 
-  /** A call ended without an answer that says anything of the upstream. */
+  /** Drops a call that ended without evidence about the upstream. */
   forget(id: string): void {
     this.calls = this.calls.filter((known) => known.id !== id);
   }
 
-  /** What was seen so far has been acted upon; only what begins now counts. */
+  /** Discards the evidence so far, once it has been acted upon. */
   reset(): void {
     this.calls = [];
   }
 
   /**
-   * Log of how much likelier what was seen is from an upstream that hangs. So many of
-   * the calls may be late for a reason that is known: those that say most count for
-   * nothing then.
+   * Log likelihood ratio of the observations between a hanging and a healthy
+   * upstream. The number of late calls given as explained is left out, those
+   * with the strongest evidence first.
    */
   strength(now: number, explained = 0): number {
     if (this.calls.every(({isAnswered}) => isAnswered)) {
       return 0;
     }
-    const ratios = this.calls.map((call) => ratioOf(now, call));
+    const ratios = this.calls.map((call) => logLikelihoodRatio(now, call));
     let sum = 0;
-    let most = 0;
+    let maximum = 0;
     for (const ratio of withoutStrongest(ratios, explained).reverse()) {
       sum += ratio;
-      most = Math.max(most, sum);
+      maximum = Math.max(maximum, sum);
     }
-    return most;
+    return maximum;
   }
 }
 
-/** Takes out what so many of the late calls say, from those that say most. */
+/** Sets the largest positive ratios to zero, as many as given by count. */
 function withoutStrongest(ratios: readonly number[], count: number): number[] {
   const late = ratios
     .map((ratio, i) => ({ratio, i}))
@@ -99,12 +100,12 @@
   return left;
 }
 
-function ratioOf(
+function logLikelihoodRatio(
   now: number,
   {isAnswered, startedAt, usual}: TrackedCall,
 ): number {
   if (isAnswered) {
-    return OF_AN_ANSWER;
+    return ANSWER_LOG_RATIO;
   }
   const age = now - startedAt - ALLOWANCE_MILLISECONDS;
   if (usual === undefined || age <= 0) {
@@ -112,5 +113,8 @@
   }
   const unanswered = 1 / (1 + (age / usual) ** DURATION_SHAPE);
   const whenHanging = HANGING_SHARE + (1 - HANGING_SHARE) * unanswered;
-  return Math.min(MOST_OF_ONE_CALL, Math.log(whenHanging / unanswered));
+  return Math.min(
+    MAXIMUM_EVIDENCE_PER_CALL,
+    Math.log(whenHanging / unanswered),
+  );
 }
--- a/packages/detection/src/index.ts
+++ b/packages/detection/src/index.ts
@@ -1,4 +1,6 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
+/** Detects failing, slow and hanging upstreams from the calls they serve. */
+
 export * from './callStatistics.js';
 export * from './cumulativeSum.js';
 export * from './customerEvidence.js';
--- a/packages/detection/src/peerBaseline.ts
+++ b/packages/detection/src/peerBaseline.ts
@@ -1,33 +1,33 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** What is normal for a kind of call, taken from the other upstreams. */
+/** Baseline statistics per kind of call, derived from the other upstreams. */
 
 import type {CallSummary} from './callStatistics.js';
 
-/** What an upstream is compared with. */
+/** The statistics that an upstream is compared with. */
 export interface PeerBaseline {
-  /** By kind of call; ALL_CALLS for all of them together. */
+  /** By kind of call; ALL_CALLS stands for all kinds together. */
   readonly calls: Readonly<Record<string, CallSummary>>;
-  /** Customers whose calls fail on several upstreams: it is their doing. */
+  /** Customers whose calls fail on several upstreams, so by their own fault. */
   readonly failingCustomers: readonly string[];
 }
 
-/** The kind under which all calls are counted together. */
+/** The key under which all kinds of call are counted together. */
 export const ALL_CALLS = '*';
 
-/** A summary with less than this many calls says little. */
+/** Summaries of fewer calls than this are too small to compare. */
 export const LEAST_COMPARED_WEIGHT = 3;
 
-/** Share of failed calls at which a customer's calls are looked into. */
+/** Share of failed calls from which a customer is reported as failing. */
 export const FAILING_CUSTOMER_SHARE = 0.3;
 
-/** What one upstream's guard reports for comparison. */
+/** Statistics that the guard of one upstream reports for comparison. */
 export interface PeerSummary {
   readonly calls: Readonly<Record<string, CallSummary>>;
-  /** Customers of whose calls many failed here. */
+  /** Customers with a high share of failed calls on this upstream. */
   readonly failingCustomers: readonly string[];
 }
 
-/** Medians over the peers, so that a few sick ones do not set the norm. */
+/** Medians over the peers, so that a few unhealthy ones do not skew them. */
 export function peerBaseline(
   peers: readonly PeerSummary[],
   kinds: ReadonlySet<string>,
@@ -61,7 +61,7 @@
   };
 }
 
-/** The middle value, the lower of two; 0 of none. */
+/** The median, or the lower of two middle values; 0 for an empty list. */
 export function median(values: readonly number[]): number {
   const sorted = [...values].sort((a, b) => a - b);
   return sorted[Math.floor((sorted.length - 1) / 2)] ?? 0;
--- a/packages/detection/src/sensitivity.ts
+++ b/packages/detection/src/sensitivity.ts
@@ -1,23 +1,26 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** The one knob of a service: detection time against false ejections. */
+/**
+ * The sensitivity setting of a service, which trades detection time against
+ * false ejections.
+ */
 
 import type {Sensitivity} from '@lockpin/types';
 
-/** What a sensitivity stands for. */
+/** The thresholds and times that a sensitivity stands for. */
 export interface DetectionSettings {
-  /** Score of failed calls at which an upstream is to be ejected. */
+  /** Score of the error test at which an upstream is condemned. */
   readonly errorThreshold: number;
-  /** Score of slow spans at which an upstream is to be ejected. */
+  /** Score of the slowness test at which an upstream is condemned. */
   readonly slowThreshold: number;
-  /** Failures must have lasted this long, whatever their score. */
+  /** Failures must have lasted this long, whatever their score is. */
   readonly shortestRise: number;
-  /** Time a request for ejection stands before it is granted. */
+  /** Time that an ejection request must persist before it is granted. */
   readonly settleMilliseconds: number;
-  /** First time out of service, in milliseconds. */
+  /** Duration of the first ejection, in milliseconds. */
   readonly firstHold: number;
 }
 
-/** Chosen by measurement; see docs/MEASUREMENTS.md. */
+/** The settings of each sensitivity; see docs/MEASUREMENTS.md. */
 export const DETECTION_SETTINGS: Readonly<
   Record<Sensitivity, DetectionSettings>
 > = {
--- a/packages/detection/src/slownessTest.ts
+++ b/packages/detection/src/slownessTest.ts
@@ -1,45 +1,45 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Whether an upstream is slow, judged by short spans of time. */
+/** Sequential test for slowness over short time windows. */
 
 import {CumulativeSum} from './cumulativeSum.js';
 
 /**
- * Length of a span. A pause of a healthy upstream makes all calls of a moment
- * slow together, so calls are no independent evidence of slowness; spans of
+ * Length of a window. A pause of a healthy upstream slows down all concurrent
+ * calls, so single calls are not independent evidence of slowness; windows of
  * this length nearly are.
  */
 export const SPAN_MILLISECONDS = 200;
 
-/** Overdue calls that make a span slow though none of its calls has ended. */
-const LEAST_OVERDUE = 2;
+/** Overdue calls that make a window slow although no call has ended in it. */
+const MINIMUM_OVERDUE = 2;
 
-/** Share of slow spans that is normal, and the share worth finding. */
-const LEAST_EXPECTED = 0.05;
-const MARGIN = 1.5;
-const LEAST_SUSPECT = 0.6;
-const MOST_EXPECTED = 0.8;
+/** Bounds on the share of slow windows expected, and on the share to detect. */
+const MINIMUM_EXPECTED_SHARE = 0.05;
+const EXPECTED_SHARE_MARGIN = 1.5;
+const MINIMUM_SUSPECT_SHARE = 0.6;
+const MAXIMUM_EXPECTED_SHARE = 0.8;
 
-/** Spans after which one counts for about a third. */
-const MEMORY_SPANS = 25;
+/** Time constant of the decay: after so many windows one counts for a third. */
+const DECAY_WINDOWS = 25;
 
-/** A sequential test on spans: slow when most of their calls are. */
+/** Tests windows of calls; a window is slow when most of its calls are. */
 export class SlownessTest {
   private readonly sum = new CumulativeSum();
   private slow = 0;
   private fast = 0;
-  private spans = 0;
-  private slowSpans = 0;
+  private windows = 0;
+  private slowWindows = 0;
 
   get score(): number {
     return this.sum.score;
   }
 
-  /** Share of slow spans of late. */
+  /** Share of recent windows that were slow. */
   get slowShare(): number {
-    return this.spans === 0 ? 0 : this.slowSpans / this.spans;
+    return this.windows === 0 ? 0 : this.slowWindows / this.windows;
   }
 
-  /** A call ended. */
+  /** Records a call that ended in the current window. */
   ended(isSlow: boolean): void {
     if (isSlow) {
       this.slow += 1;
@@ -48,14 +48,14 @@
     }
   }
 
-  /** A span is over; so many calls of it are overdue and still running. */
+  /** Closes the window; overdue is the number of late calls still running. */
   closeSpan(
     now: number,
     overdue: number,
     peersSlowShare: number,
-    most: number,
+    maximum: number,
   ): void {
-    const slow = this.slow + (overdue >= LEAST_OVERDUE ? overdue : 0);
+    const slow = this.slow + (overdue >= MINIMUM_OVERDUE ? overdue : 0);
     const {fast} = this;
     this.slow = 0;
     this.fast = 0;
@@ -63,23 +63,23 @@
       return;
     }
     const isSlow = slow > fast;
-    this.remember(isSlow);
+    this.recordWindow(isSlow);
     const expectedShare = Math.min(
-      MOST_EXPECTED,
-      Math.max(LEAST_EXPECTED, peersSlowShare * MARGIN),
+      MAXIMUM_EXPECTED_SHARE,
+      Math.max(MINIMUM_EXPECTED_SHARE, peersSlowShare * EXPECTED_SHARE_MARGIN),
     );
     const halfway = expectedShare + (1 - expectedShare) / 2;
-    const suspectShare = Math.max(LEAST_SUSPECT, halfway);
-    this.sum.observe(now, isSlow, {expectedShare, suspectShare}, most);
+    const suspectShare = Math.max(MINIMUM_SUSPECT_SHARE, halfway);
+    this.sum.observe(now, isSlow, {expectedShare, suspectShare}, maximum);
   }
 
   reset(): void {
     this.sum.reset();
   }
 
-  private remember(isSlow: boolean): void {
-    const kept = 1 - 1 / MEMORY_SPANS;
-    this.spans = this.spans * kept + 1;
-    this.slowSpans = this.slowSpans * kept + (isSlow ? 1 : 0);
+  private recordWindow(isSlow: boolean): void {
+    const decayFactor = 1 - 1 / DECAY_WINDOWS;
+    this.windows = this.windows * decayFactor + 1;
+    this.slowWindows = this.slowWindows * decayFactor + (isSlow ? 1 : 0);
   }
 }
--- a/packages/floor/src/__tests__/permitHolder.test.ts
+++ b/packages/floor/src/__tests__/permitHolder.test.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** When the holder of a service's permits gives one. */
+/** Conditions under which the permit holder grants and revokes permits. */
 
 import {describe, expect, it} from 'vitest';
 import type {GuardReport} from '../messages.js';
@@ -27,7 +27,7 @@
   };
 }
 
-const SICK = {state: 'condemned', suspect: true, severity: 1} as const;
+const CONDEMNED = {state: 'condemned', suspect: true, severity: 1} as const;
 
 function holderOf(count: number, floorSlots: number): PermitHolder {
   const names = Array.from({length: count}, (_, i) => `u${i}`);
@@ -41,26 +41,26 @@
 }
 
 describe('PermitHolder', () => {
-  it('lets a request settle and then grants it', () => {
+  it('grants a request after the settling time', () => {
     const holder = holderOf(6, 3);
-    expect(holder.report(100, report('u0', 2, SICK)).decision).toEqual({
+    expect(holder.report(100, report('u0', 2, CONDEMNED)).decision).toEqual({
       kind: 'denied',
       reason: 'settling',
     });
-    expect(holder.report(400, report('u0', 3, SICK)).decision).toEqual({
+    expect(holder.report(400, report('u0', 3, CONDEMNED)).decision).toEqual({
       kind: 'granted',
       request: 0,
     });
   });
 
-  it('grants nothing while many are or were suspect', () => {
+  it('grants nothing while many upstreams are or recently were suspect', () => {
     const holder = holderOf(6, 1);
     for (const name of ['u1', 'u2', 'u3']) {
       holder.report(50, report(name, 2, {suspect: true}));
       holder.report(300, report(name, 3));
     }
-    holder.report(100, report('u0', 2, SICK));
-    expect(holder.report(400, report('u0', 3, SICK)).decision).toEqual({
+    holder.report(100, report('u0', 2, CONDEMNED));
+    expect(holder.report(400, report('u0', 3, CONDEMNED)).decision).toEqual({
       kind: 'denied',
       reason: 'shared-cause',
     });
@@ -76,8 +76,8 @@
 
   it('grants nothing below the floor', () => {
     const holder = holderOf(4, 4);
-    holder.report(100, report('u0', 2, SICK));
-    expect(holder.report(400, report('u0', 3, SICK)).decision).toEqual({
+    holder.report(100, report('u0', 2, CONDEMNED));
+    expect(holder.report(400, report('u0', 3, CONDEMNED)).decision).toEqual({
       kind: 'denied',
       reason: 'floor',
     });
@@ -89,28 +89,28 @@
       ['u0', 9],
       ['u1', 2],
     ] as const) {
-      holder.report(100, report(name, 2, {...SICK, severity}));
-      holder.report(400, report(name, 3, {...SICK, severity}));
+      holder.report(100, report(name, 2, {...CONDEMNED, severity}));
+      holder.report(400, report(name, 3, {...CONDEMNED, severity}));
       holder.report(500, report(name, 4, {state: 'ejected', severity}));
     }
     holder.report(600, report('u5', 2, {state: 'draining'}));
-    const sicker = holder.report(
+    const moreSevere = holder.report(
       700,
       report('u0', 5, {state: 'ejected', severity: 9}),
     );
-    expect(sicker.decision.kind).toBe('none');
-    const least = holder.report(
+    expect(moreSevere.decision.kind).toBe('none');
+    const leastSevere = holder.report(
       700,
       report('u1', 5, {state: 'ejected', severity: 2}),
     );
-    expect(least.decision).toEqual({kind: 'revoked', request: 0});
+    expect(leastSevere.decision).toEqual({kind: 'revoked', request: 0});
   });
 
-  it('passes over a report that was overtaken by a later one', () => {
+  it('ignores a report that arrives after a later one', () => {
     const holder = holderOf(6, 3);
     holder.report(100, report('u0', 5));
-    holder.report(101, report('u0', 4, SICK));
-    expect(holder.report(400, report('u0', 3, SICK)).decision.kind).toBe(
+    holder.report(101, report('u0', 4, CONDEMNED));
+    expect(holder.report(400, report('u0', 3, CONDEMNED)).decision.kind).toBe(
       'none',
     );
   });
--- a/packages/floor/src/holderTable.ts
+++ b/packages/floor/src/holderTable.ts
@@ -1,22 +1,22 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Who holds the permits of each service, as the log has it. */
+/** The permit holder of each service, according to the log. */
 
 import {isLaterPosition} from '@lockpin/utils';
 import type {Fence, HolderRecord} from './messages.js';
 
-/** The holder of a service with the fence that its record gave it. */
+/** The permit holder of a service, with the fencing token from its record. */
 export interface Holder {
   readonly box: string;
   readonly incarnation: string;
-  /** The one with the latest fence is the holder. */
+  /** The box with the latest fence is the holder. */
   readonly fence: Fence;
 }
 
-/** The newest record of each service wins. */
+/** Keeps the newest holder record of each service. */
 export class HolderTable {
   private readonly holders = new Map<string, Holder>();
 
-  /** Takes in a record; records may come again or out of order. */
+  /** Applies a record; records may be repeated or out of order. */
   apply(fence: Fence, record: HolderRecord): boolean {
     const current = this.holders.get(record.service);
     if (current !== undefined && !isLaterPosition(fence, current.fence)) {
--- a/packages/floor/src/messages.ts
+++ b/packages/floor/src/messages.ts
@@ -1,40 +1,41 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** What guards and the holder of a service's permits tell each other. */
+/** Messages between guards and the permit holder of a service. */
 
 import type {PeerBaseline, PeerSummary} from '@lockpin/detection';
 import type {StreamPosition} from '@lockpin/types';
 
 /**
- * Where the record stands by which someone holds the permits of a service. Later ones win,
- * also over those of an era of the log that a restore has ended, whatever their offsets.
+ * Fencing token: the log position of the record that made a box the permit
+ * holder. Later positions win; a later era of the log, which begins with each
+ * restore, wins over earlier eras whatever their offsets.
  */
 export type Fence = StreamPosition;
 
-/** Earlier than any: nobody is known to hold the permits. */
+/** Earlier than any other fence: no permit holder is known. */
 export const NO_FENCE: Fence = {era: 0, offset: -1};
 
-/** The one of the first record of a log that was never restored. */
+/** Fence of the first record of a log that was never restored. */
 export const FIRST_FENCE: Fence = {era: 0, offset: 0};
 
-/** A guard's report on one upstream. */
+/** The report of a guard on one upstream. */
 export interface GuardReport {
   readonly upstream: string;
   readonly box: string;
   readonly incarnation: string;
-  /** Rises with every report of this incarnation. */
+  /** Increases with every report of this incarnation. */
   readonly sequence: number;
-  /** The latest fence the guard knows; it takes no permit of an earlier one. */
+  /** The latest fence known; permits with earlier ones are not accepted. */
   readonly fence: Fence;
   readonly state:
     'in-service' | 'condemned' | 'ejected' | 'probation' | 'draining';
   readonly suspect: boolean;
   readonly severity: number;
-  /** Number of the guard's present request; lower ones are given back. */
+  /** Number of the current permit request; lower ones have been returned. */
   readonly request: number;
   readonly summary: PeerSummary;
 }
 
-/** Why a permit is not given. */
+/** Why a permit is denied. */
 export type DenialReason =
   'floor' | 'shared-cause' | 'settling' | 'fence-unknown' | 'not-registered';
 
@@ -50,7 +51,7 @@
   readonly baseline: PeerBaseline;
 }
 
-/** A record of the holders stream: who gives the permits of a service. */
+/** A record of the holders stream, naming the permit holder of a service. */
 export interface HolderRecord {
   readonly kind: 'holder';
   readonly service: string;
--- a/packages/floor/src/permitHolder.ts
+++ b/packages/floor/src/permitHolder.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Gives the permits of one service so that ejection spares its floor. */
+/** Grants ejection permits for one service without undercutting its floor. */
 
 import {peerBaseline} from '@lockpin/detection';
 import type {PeerBaseline} from '@lockpin/detection';
@@ -11,106 +11,111 @@
   HolderReply,
 } from './messages.js';
 
-/** An upstream as the configuration has it. */
+/** An upstream according to the configuration. */
 export interface RegisteredUpstream {
   readonly name: string;
   readonly slots: number;
   readonly inService: boolean;
 }
 
-/** What the holder goes by. */
+/** Configuration of the holder for one service. */
 export interface HolderView {
   readonly floorSlots: number;
   readonly settleMilliseconds: number;
   readonly upstreams: readonly RegisteredUpstream[];
 }
 
-/** A report older than this says nothing of its upstream any more. */
+/** After this long without a report, an upstream counts as unavailable. */
 export const REPORT_LIFE_MILLISECONDS = 6500;
 
-/** Share of a service's upstreams that may be suspect for causes of their own. */
-const OWN_CAUSE_SHARE = 0.34;
+/** If a larger share of upstreams is suspect, a shared cause is assumed. */
+const SHARED_CAUSE_SHARE = 0.34;
 
-/** Once the norm has followed, suspicion goes; that it was there still counts. */
-const SUSPICION_KEPT_MILLISECONDS = 8000;
+/**
+ * Suspicion counts for this long after it ends. When many upstreams degrade
+ * together, the baseline follows and they soon are no longer suspect.
+ */
+const SUSPICION_RETENTION_MILLISECONDS = 8000;
 
 interface Permit {
   readonly incarnation: string;
   readonly request: number;
 }
 
-interface KnownGuard {
+interface GuardState {
   report: GuardReport;
-  heardAt: number;
+  receivedAt: number;
   condemnedSince: number | undefined;
   suspectAt: number;
   permit: Permit | undefined;
 }
 
 /**
- * Knows nothing when it begins, and counts each upstream whose guard has not
- * acknowledged its fence as already ejected. So a permit that an earlier
- * holder gave, or may still give, is always counted, and no clock takes part
- * in the promise: time is used only to count more upstreams as lost.
+ * Starts without state and counts each upstream whose guard has not
+ * acknowledged its fence as ejected. This covers every permit that an earlier
+ * holder granted or may still grant. The guarantee does not depend on clocks:
+ * time is only used to count more upstreams as unavailable.
  */
 export class PermitHolder {
-  private readonly guards = new Map<string, KnownGuard>();
+  private readonly guards = new Map<string, GuardState>();
 
   constructor(
     readonly fence: Fence,
-    private view: HolderView,
+    private settings: HolderView,
   ) {}
 
-  /** The configuration changed. */
-  setView(view: HolderView): void {
-    this.view = view;
+  setView(settings: HolderView): void {
+    this.settings = settings;
   }
 
-  /** Takes in a report and decides on what it asks for. */
+  /** Processes a report and decides on its permit request. */
   report(now: number, report: GuardReport): HolderReply {
     if (comparePositions(report.fence, this.fence) !== 0) {
       return this.reply(now, report, denied('fence-unknown'));
     }
-    const known = this.take(now, report);
+    const known = this.acceptReport(now, report);
     if (known === undefined) {
       return this.reply(now, report, {kind: 'none'});
     }
     return this.reply(now, report, this.decide(now, report, known));
   }
 
-  /** Slots that certainly take work: all others count as lost. */
+  /** Slots that certainly accept calls; all others count as unavailable. */
   availableSlots(now: number): number {
-    return this.view.upstreams
+    return this.settings.upstreams
       .filter((upstream) => this.isAvailable(now, upstream))
       .reduce((sum, {slots}) => sum + slots, 0);
   }
 
-  private take(now: number, report: GuardReport): KnownGuard | undefined {
+  private acceptReport(
+    now: number,
+    report: GuardReport,
+  ): GuardState | undefined {
     const known = this.guards.get(report.upstream);
     if (known === undefined) {
-      return this.remember(now, report, undefined);
+      return this.storeReport(now, report, undefined);
     }
     const {incarnation, sequence} = known.report;
     if (report.incarnation === incarnation) {
       if (report.sequence <= sequence) {
         return undefined;
       }
-      return this.remember(now, report, known);
+      return this.storeReport(now, report, known);
     }
     return report.incarnation > incarnation
-      ? this.remember(now, report, undefined)
+      ? this.storeReport(now, report, undefined)
       : undefined;
   }
 
-  private remember(
+  private storeReport(
     now: number,
     report: GuardReport,
-    before: KnownGuard | undefined,
-  ): KnownGuard {
+    before: GuardState | undefined,
+  ): GuardState {
     const condemned = report.state === 'condemned';
-    const known: KnownGuard = {
+    const known: GuardState = {
       report,
-      heardAt: now,
+      receivedAt: now,
       suspectAt: report.suspect
         ? now
         : (before?.suspectAt ?? Number.NEGATIVE_INFINITY),
@@ -121,7 +126,7 @@
     return known;
   }
 
-  /** A permit stands until its guard has moved on to a later request. */
+  /** A permit stays valid until its guard has moved on to a later request. */
   private permitAfter(
     report: GuardReport,
     permit: Permit | undefined,
@@ -138,7 +143,7 @@
   private decide(
     now: number,
     report: GuardReport,
-    known: KnownGuard,
+    known: GuardState,
   ): HolderReply['decision'] {
     if (known.permit !== undefined) {
       return this.keepOrRevoke(now, report, known.permit);
@@ -161,8 +166,8 @@
     permit: Permit,
   ): HolderReply['decision'] {
     const {request} = permit;
-    const short = this.availableSlots(now) < this.view.floorSlots;
-    if (short && this.isLeastSick(now, report)) {
+    const isBelowFloor = this.availableSlots(now) < this.settings.floorSlots;
+    if (isBelowFloor && this.isLeastSevere(now, report)) {
       return {kind: 'revoked', request};
     }
     return report.state === 'condemned'
@@ -173,14 +178,14 @@
   private denial(
     now: number,
     report: GuardReport,
-    known: KnownGuard,
+    known: GuardState,
   ): DenialReason | undefined {
-    const upstream = this.registered(report.upstream);
+    const upstream = this.registeredUpstream(report.upstream);
     if (upstream === undefined) {
       return 'not-registered';
     }
     const since = known.condemnedSince ?? now;
-    if (now - since < this.view.settleMilliseconds) {
+    if (now - since < this.settings.settleMilliseconds) {
       return 'settling';
     }
     if (this.isSharedCause(now)) {
@@ -188,21 +193,21 @@
     }
     const own = this.isAvailable(now, upstream) ? upstream.slots : 0;
     const left = this.availableSlots(now) - own;
-    return left < this.view.floorSlots ? 'floor' : undefined;
+    return left < this.settings.floorSlots ? 'floor' : undefined;
   }
 
-  /** When many worsen together it is load, or something they all depend on. */
+  /** Many upstreams degrading together point to load or a shared dependency. */
   private isSharedCause(now: number): boolean {
     const fresh = [...this.guards.values()].filter((guard) =>
       this.isFresh(now, guard),
     );
     const suspect = fresh.filter(
-      ({suspectAt}) => now - suspectAt <= SUSPICION_KEPT_MILLISECONDS,
+      ({suspectAt}) => now - suspectAt <= SUSPICION_RETENTION_MILLISECONDS,
     ).length;
-    return suspect > Math.max(1, Math.floor(fresh.length * OWN_CAUSE_SHARE));
+    return suspect > Math.max(1, Math.floor(fresh.length * SHARED_CAUSE_SHARE));
   }
 
-  private isLeastSick(now: number, report: GuardReport): boolean {
+  private isLeastSevere(now: number, report: GuardReport): boolean {
     const permitted = [...this.guards.values()].filter(
       (guard) => guard.permit !== undefined && this.isFresh(now, guard),
     );
@@ -226,12 +231,12 @@
     );
   }
 
-  private isFresh(now: number, guard: KnownGuard): boolean {
-    return now - guard.heardAt <= REPORT_LIFE_MILLISECONDS;
+  private isFresh(now: number, guard: GuardState): boolean {
+    return now - guard.receivedAt <= REPORT_LIFE_MILLISECONDS;
   }
 
-  private registered(name: string): RegisteredUpstream | undefined {
-    return this.view.upstreams.find((upstream) => upstream.name === name);
+  private registeredUpstream(name: string): RegisteredUpstream | undefined {
+    return this.settings.upstreams.find((upstream) => upstream.name === name);
   }
 
   private reply(
@@ -247,7 +252,7 @@
     };
   }
 
-  /** Only of the kinds that the guard reports: it has no use for others. */
+  /** Limited to the kinds of call that the guard reports. */
   private baselineFor(now: number, report: GuardReport): PeerBaseline {
     const kinds = new Set(Object.keys(report.summary.calls));
     const peers = [...this.guards.values()].filter(
--- a/packages/quarantine/src/__tests__/crashWatch.test.ts
+++ b/packages/quarantine/src/__tests__/crashWatch.test.ts
@@ -1,11 +1,11 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Which broken calls mean that their upstream has ended. */
+/** Attribution of broken calls to the end of an upstream process. */
 
 import {describe, expect, it} from 'vitest';
 import {CrashWatch} from '../crashWatch.js';
 
-describe('CrashWatch', () => {
-  it('names the calls that broke when nobody is found at the address', () => {
+describe('CrashDetector', () => {
+  it('returns the broken calls when nothing listens at the address', () => {
     const watch = new CrashWatch();
     expect(watch.broke(0, 'a')).toEqual([]);
     expect(watch.beginLook(0)).toBe(true);
@@ -16,7 +16,7 @@
     expect(watch.beginLook(3)).toBe(false);
   });
 
-  it('names none of an upstream that resets connections and is there', () => {
+  it('returns no calls for a listening upstream that resets connections', () => {
     const watch = new CrashWatch();
     for (let now = 0; now < 1000; now += 10) {
       expect(watch.broke(now, 'a')).toEqual([]);
@@ -26,20 +26,20 @@
     }
   });
 
-  it('looks ten times a second at the most', () => {
+  it('checks at most ten times a second', () => {
     const watch = new CrashWatch();
-    let looks = 0;
+    let checks = 0;
     for (let now = 0; now < 1000; now += 10) {
       watch.broke(now, 'a');
       if (watch.beginLook(now)) {
-        looks += 1;
+        checks += 1;
         watch.looked(now, 'there');
       }
     }
-    expect(looks).toBe(10);
+    expect(checks).toBe(10);
   });
 
-  it('looks again for what broke meanwhile, once the pause is over', () => {
+  it('checks again for calls that broke meanwhile, after the interval', () => {
     const watch = new CrashWatch();
     watch.broke(0, 'reset');
     watch.beginLook(0);
@@ -50,7 +50,7 @@
     expect(watch.looked(104, 'gone')).toEqual(['ended']);
   });
 
-  it('concludes nothing from an address that does not answer', () => {
+  it('draws no conclusion from an address that does not answer', () => {
     const watch = new CrashWatch();
     watch.broke(0, 'a');
     watch.beginLook(0);
--- a/packages/quarantine/src/__tests__/ownRuns.test.ts
+++ b/packages/quarantine/src/__tests__/ownRuns.test.ts
@@ -1,12 +1,12 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** What a box tells of its own runs. */
+/** Reports of a box on the runs of its own upstreams. */
 
 import {describe, expect, it} from 'vitest';
 import {OwnRuns} from '../ownRuns.js';
 import {MOST_REPORTS, REPORT_LIFE_MILLISECONDS} from '../runReport.js';
 
 describe('OwnRuns', () => {
-  it('tells of each request that ran when the upstream ended', () => {
+  it('reports each request that ran when the upstream crashed', () => {
     const runs = new OwnRuns();
     expect(runs.crashed(5, ['a', 'b', 'b', ''])).toBe(true);
     expect(runs.reports).toEqual([
@@ -15,7 +15,7 @@
     ]);
   });
 
-  it('excuses as many ends as the request ended well here', () => {
+  it('excuses as many crashes as the request had successful runs here', () => {
     const runs = new OwnRuns();
     runs.survived(1, 'popular', false);
     runs.survived(2, 'popular', false);
@@ -24,7 +24,7 @@
     expect(runs.crashed(5, ['popular'])).toBe(true);
   });
 
-  it('tells that a request ended well only once it is in question', () => {
+  it('reports survived runs only for suspected requests', () => {
     const runs = new OwnRuns();
     expect(runs.survived(1, 'a', false)).toBe(false);
     expect(runs.questioned(2, 'b')).toBe(false);
@@ -34,7 +34,7 @@
     expect(more.filter((isNews) => isNews)).toHaveLength(3);
   });
 
-  it('tells the newest of many, and nothing that is a day old', () => {
+  it('publishes the newest reports, and none older than a day', () => {
     const runs = new OwnRuns();
     for (let i = 0; i < 40; i += 1) {
       runs.crashed(i, [`digest-${i}`]);
@@ -45,7 +45,7 @@
     expect(runs.reports).toHaveLength(1);
   });
 
-  it('takes over what an earlier process of its box has told', () => {
+  it('adopts the reports of an earlier process of its box', () => {
     const runs = new OwnRuns();
     const earlier = [{digest: 'a', at: 1, hasCrashed: true}];
     runs.crashed(9, ['b']);
--- a/packages/quarantine/src/__tests__/quarantine.test.ts
+++ b/packages/quarantine/src/__tests__/quarantine.test.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Which requests are kept out, by what boxes report of their runs. */
+/** Quarantine decisions from the run reports of all boxes. */
 
 import fc from 'fast-check';
 import {describe, expect, it} from 'vitest';
@@ -26,13 +26,13 @@
 }
 
 describe('Quarantine', () => {
-  it('keeps a request out once three upstreams have ended under it', () => {
+  it('quarantines a request that crashed three upstreams', () => {
     expect(afterCrashes(2).remaining(NOW, 'bad')).toBe(0);
     expect(afterCrashes(3).remaining(NOW, 'bad')).toBeGreaterThan(0);
     expect(afterCrashes(3).remaining(NOW, 'other')).toBe(0);
   });
 
-  it('counts one end once, however often and from whom it is heard', () => {
+  it('counts a crash once, however often it is reported', () => {
     const quarantine = new Quarantine();
     for (let i = 0; i < 9; i += 1) {
       quarantine.learn(NOW, 'box', [run('bad', NOW)]);
@@ -40,7 +40,7 @@
     expect(quarantine.remaining(NOW, 'bad')).toBe(0);
   });
 
-  it('lets it run once more after the quarantine, and keeps it out again', () => {
+  it('lets a request run after the quarantine, and quarantines it again', () => {
     const quarantine = afterCrashes(CRASHES_TO_QUARANTINE);
     const over = NOW + QUARANTINE_MILLISECONDS + 10;
     expect(quarantine.remaining(over, 'bad')).toBe(0);
@@ -48,7 +48,7 @@
     expect(quarantine.remaining(over, 'bad')).toBe(QUARANTINE_MILLISECONDS);
   });
 
-  it('takes no request for the cause that has ended well as often', () => {
+  it('does not quarantine a request that was survived as often', () => {
     const quarantine = afterCrashes(3);
     for (let i = 0; i < 3; i += 1) {
       quarantine.learn(NOW, `other-${i}`, [run('bad', NOW + i, false)]);
@@ -56,7 +56,7 @@
     expect(quarantine.remaining(NOW, 'bad')).toBe(0);
   });
 
-  it('forgets what is a day old, and does not trust clocks that are ahead', () => {
+  it('ignores reports older than a day and limits clocks that are ahead', () => {
     const quarantine = new Quarantine();
     const old = NOW - REPORT_LIFE_MILLISECONDS - 1;
     const ahead = NOW + 100 * REPORT_LIFE_MILLISECONDS;
@@ -66,7 +66,7 @@
     expect(quarantine.remaining(NOW, 'bad')).toBe(QUARANTINE_MILLISECONDS);
   });
 
-  it('watches a bounded number of requests, those heard of last', () => {
+  it('keeps a bounded number of suspects', () => {
     const quarantine = new Quarantine();
     for (let i = 0; i < 5000; i += 1) {
       quarantine.learn(NOW, 'box', [run(`digest-${i}`, NOW)]);
@@ -74,25 +74,32 @@
     expect(quarantine.size).toBe(1000);
   });
 
-  it('judges alike on boxes that hear the same in another order', () => {
+  it('gives the same result for any order of the reports', () => {
     const report = fc.record({
       box: fc.constantFrom('a', 'b', 'c', 'd'),
       at: fc.integer({min: NOW - 1000, max: NOW}),
       hasCrashed: fc.boolean(),
     });
     fc.assert(
-      fc.property(fc.array(report, {maxLength: 40}), fc.nat(), (told, seed) => {
-        const turn = seed % (told.length + 1);
-        const turned = [...told.slice(turn), ...told.slice(0, turn)];
-        const [here, there] = [new Quarantine(), new Quarantine()];
-        for (const {box, at, hasCrashed} of told) {
-          here.learn(NOW, box, [run('x', at, hasCrashed)]);
-        }
-        for (const {box, at, hasCrashed} of turned) {
-          there.learn(NOW, box, [run('x', at, hasCrashed)]);
-        }
-        expect(here.remaining(NOW, 'x')).toBe(there.remaining(NOW, 'x'));
-      }),
+      fc.property(
+        fc.array(report, {maxLength: 40}),
+        fc.nat(),
+        (reported, seed) => {
+          const offset = seed % (reported.length + 1);
+          const rotated = [
+            ...reported.slice(offset),
+            ...reported.slice(0, offset),
+          ];
+          const [here, there] = [new Quarantine(), new Quarantine()];
+          for (const {box, at, hasCrashed} of reported) {
+            here.learn(NOW, box, [run('x', at, hasCrashed)]);
+          }
+          for (const {box, at, hasCrashed} of rotated) {
+            there.learn(NOW, box, [run('x', at, hasCrashed)]);
+          }
+          expect(here.remaining(NOW, 'x')).toBe(there.remaining(NOW, 'x'));
+        },
+      ),
     );
   });
 });
--- a/packages/quarantine/src/__tests__/quarantineLift.test.ts
+++ b/packages/quarantine/src/__tests__/quarantineLift.test.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Quarantines that operators lift, and those that a new program ends sooner. */
+/** Quarantines that end early, by a lift or by a new program version. */
 
 import fc from 'fast-check';
 import {describe, expect, it} from 'vitest';
@@ -15,8 +15,11 @@
   return {digest: 'bad', at, hasCrashed: true, program};
 }
 
-/** Three boxes have told of an end each. */
-function keptOut(quarantine = new Quarantine(), program?: string): Quarantine {
+/** A quarantine with one crash report from each of three boxes. */
+function quarantined(
+  quarantine = new Quarantine(),
+  program?: string,
+): Quarantine {
   for (let i = 0; i < 3; i += 1) {
     quarantine.learn(NOW, `box-${i}`, [crash(NOW - 3 + i, program)], 'shop');
   }
@@ -24,8 +27,8 @@
 }
 
 describe('a quarantine', () => {
-  it('is listed with its service, ends, boxes and times', () => {
-    expect(keptOut().all(NOW)).toEqual([
+  it('is listed with its service, crashes, boxes and times', () => {
+    expect(quarantined().all(NOW)).toEqual([
       {
         digest: 'bad',
         services: ['shop'],
@@ -36,11 +39,11 @@
         until: NOW - 1 + QUARANTINE_MILLISECONDS,
       },
     ]);
-    expect(keptOut().all(NOW + QUARANTINE_MILLISECONDS)).toEqual([]);
+    expect(quarantined().all(NOW + QUARANTINE_MILLISECONDS)).toEqual([]);
   });
 
-  it('ends when it is lifted, and comes again after three more ends', () => {
-    const quarantine = keptOut();
+  it('ends when lifted, and begins again after three more crashes', () => {
+    const quarantine = quarantined();
     const lift = quarantine.lift(NOW, 'bad') as QuarantineLift;
     quarantine.learnLifts(NOW, [lift]);
     expect(quarantine.remaining(NOW, 'bad')).toBe(0);
@@ -51,14 +54,14 @@
     expect(quarantine.remaining(NOW + 3, 'bad')).toBeGreaterThan(0);
   });
 
-  it('cannot be lifted where there is none', () => {
-    const quarantine = keptOut();
+  it('cannot be lifted if there is none', () => {
+    const quarantine = quarantined();
     expect(quarantine.lift(NOW, 'other')).toBeUndefined();
     const over = NOW + QUARANTINE_MILLISECONDS;
     expect(quarantine.lift(over, 'bad')).toBeUndefined();
   });
 
-  it('ends by reports of clocks that are ahead of who lifts it, too', () => {
+  it('can be lifted when the clocks of reporting boxes are ahead', () => {
     const quarantine = new Quarantine();
     for (let i = 0; i < 3; i += 1) {
       quarantine.learn(NOW + 10, `box-${i}`, [crash(NOW + 5 + i)]);
@@ -68,7 +71,7 @@
     expect(quarantine.remaining(NOW + 10, 'bad')).toBe(0);
   });
 
-  it('is the same in whatever order lifts and reports are heard', () => {
+  it('does not depend on the order of lifts and reports', () => {
     const reports = [0, 1, 2, 3, 4].map((i) => crash(NOW - 9 + i));
     const steps = [
       ...reports.map((report, i) => (quarantine: Quarantine) => {
@@ -101,9 +104,9 @@
 });
 
 describe('a new version of the program', () => {
-  it('is tried once no working upstream runs one that has ended', () => {
+  it('is tried once no usable upstream runs a crashed version', () => {
     const running = new Set(['v1']);
-    const quarantine = keptOut(
+    const quarantine = quarantined(
       new Quarantine((_, program) => running.has(program ?? '')),
       'v1',
     );
@@ -115,9 +118,9 @@
     expect(quarantine.remaining(NOW, 'bad')).toBe(QUARANTINE_MILLISECONDS);
   });
 
-  it('lets nothing in again that is given up for an older one', () => {
+  it('does not end the quarantine if it is rolled back', () => {
     const running = new Set(['v2']);
-    const quarantine = keptOut(
+    const quarantine = quarantined(
       new Quarantine((_, program) => running.has(program ?? '')),
       'v1',
     );
@@ -128,7 +131,7 @@
 });
 
 describe('OwnLifts', () => {
-  it('keeps the newest of each request, a day long, and not too many', () => {
+  it('keeps a limited number, the newest of each request, for a day', () => {
     const lifts = new OwnLifts();
     expect(lifts.add(NOW, [{digest: 'a', at: 1}])).toBe(true);
     expect(lifts.add(NOW, [{digest: 'a', at: 1}])).toBe(false);
--- a/packages/quarantine/src/crashWatch.ts
+++ b/packages/quarantine/src/crashWatch.ts
@@ -1,44 +1,50 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
 /**
- * Tells an upstream whose process has ended from one that resets connections. Both break
- * running calls; only the first has nobody at its address afterwards.
+ * Distinguishes an upstream whose process has ended from one that resets
+ * connections. Both break running calls, but only an ended process leaves its
+ * address without a listener.
  */
 
-/** What a look at an upstream's address found. */
+/** Result of a connection check on the address of an upstream. */
 export type Presence =
-  /** A connection came about. */
+  /** A connection was established. */
   | 'there'
-  /** Nothing listens there. */
+  /** Nothing listens at the address. */
   | 'gone'
-  /** No answer in time, as from a box that stands still. */
+  /** No answer in time, for example because the box is suspended. */
   | 'unknown';
 
 /**
- * Time between looks at an upstream that breaks calls and is there. Upstreams that reset
- * much of what they get break many calls a second, and a look costs a connection.
+ * Minimum time between checks of an upstream that breaks calls but is
+ * listening. Upstreams that reset connections may break many calls a second,
+ * and each check costs a connection.
  */
-const LOOK_PAUSE_MILLISECONDS = 100;
+const CHECK_INTERVAL_MILLISECONDS = 100;
 
 /**
- * Calls that broke this long before nobody was found at the address broke with the
- * process: the pause between looks, a turn of the loop and the look itself.
+ * Calls that broke at most this long before the address was found unused are
+ * attributed to the end of the process. It covers the time between checks, a
+ * turn of the event loop and the check itself.
  */
-const SAME_END_MILLISECONDS = 250;
+const SAME_EXIT_MILLISECONDS = 250;
 
 interface BrokenCall {
   readonly digest: string;
   readonly at: number;
 }
 
-/** Watches one process of an upstream. */
+/** Detects the end of one process of an upstream. */
 export class CrashWatch {
   private broken: readonly BrokenCall[] = [];
-  private isLooking = false;
-  private lookBeganAt = 0;
-  private lookAfter = 0;
+  private isChecking = false;
+  private checkBeganAt = 0;
+  private nextCheckAt = 0;
   private isGone = false;
 
-  /** A call broke that had been sent; returns it when the process is known to have ended. */
+  /**
+   * Records that a call broke after it was sent. Returns its digest if the
+   * process is already known to have ended.
+   */
   broke(now: number, digest: string): readonly string[] {
     if (this.isGone) {
       return [digest];
@@ -47,32 +53,32 @@
     return [];
   }
 
-  /** Whether the address is to be looked at now; the look has begun when so. */
+  /** Whether a check is due now; if so, it counts as begun. */
   beginLook(now: number): boolean {
     this.broken = this.recent(now);
     const isDue =
-      this.broken.length > 0 && !this.isLooking && now >= this.lookAfter;
+      this.broken.length > 0 && !this.isChecking && now >= this.nextCheckAt;
     if (isDue) {
-      this.isLooking = true;
-      this.lookBeganAt = now;
+      this.isChecking = true;
+      this.checkBeganAt = now;
     }
     return isDue;
   }
 
-  /** A look has ended; returns the calls that broke with the process. */
+  /** Records a check; returns the calls that broke with the process. */
   looked(now: number, presence: Presence): readonly string[] {
-    this.isLooking = false;
-    this.lookAfter = now + LOOK_PAUSE_MILLISECONDS;
+    this.isChecking = false;
+    this.nextCheckAt = now + CHECK_INTERVAL_MILLISECONDS;
     this.isGone ||= presence === 'gone';
     const {broken} = this;
-    // What broke since the look began may still be due to an end.
+    // Calls that broke after the check began may still be due to an end.
     this.broken = this.isGone
       ? []
-      : broken.filter(({at}) => at > this.lookBeganAt);
+      : broken.filter(({at}) => at > this.checkBeganAt);
     return this.isGone ? broken.map(({digest}) => digest) : [];
   }
 
   private recent(now: number): readonly BrokenCall[] {
-    return this.broken.filter(({at}) => now - at <= SAME_END_MILLISECONDS);
+    return this.broken.filter(({at}) => now - at <= SAME_EXIT_MILLISECONDS);
   }
 }
--- a/packages/quarantine/src/index.ts
+++ b/packages/quarantine/src/index.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Requests that end the upstreams that run them, and how long they are kept out. */
+/** Detection and quarantine of requests that crash upstreams. */
 
 export * from './crashWatch.js';
 export * from './ownRuns.js';
--- a/packages/quarantine/src/ownRuns.ts
+++ b/packages/quarantine/src/ownRuns.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** What a box has seen of the requests that ran on its own upstream. */
+/** Runs of requests on the upstreams of this box, and the reports on them. */
 
 import type {QuarantineLift} from './quarantineLift.js';
 import {
@@ -9,119 +9,126 @@
 } from './runReport.js';
 import type {RunReport} from './runReport.js';
 
-/** Requests of which it is remembered that they ended well: some minutes of calls. */
-const MOST_SURVIVORS = 2048;
+/** Successful requests that are remembered: some minutes of calls. */
+const MAXIMUM_SURVIVED_REQUESTS = 2048;
 
 /**
- * Runs of one request that are remembered as ended well, and told of a suspect. Twenty
- * boxes that tell of four each outweigh any number of ends that chance would bring.
+ * Successful runs of one request that are remembered, and that are reported for
+ * a suspect. Twenty boxes that report four each outweigh any number of crashes
+ * that coincide with a request by chance.
  */
-const MOST_SURVIVALS = 4;
+const MAXIMUM_SURVIVALS_PER_REQUEST = 4;
 
-/** Remembers runs, and decides which of them the other boxes are told of. */
+/** Remembers runs and decides which of them to report to the other boxes. */
 export class OwnRuns {
-  /** How often each request ended well lately, the latest last. */
-  private readonly survivors = new Map<string, number>();
-  private told: readonly RunReport[] = [];
+  /** Recent successful runs by request, the latest request last. */
+  private readonly survivalCounts = new Map<string, number>();
+  private published: readonly RunReport[] = [];
 
-  /** What the other boxes are to know. */
+  /** The reports to publish to the other boxes. */
   get reports(): readonly RunReport[] {
-    return this.told;
+    return this.published;
   }
 
-  /** A run has ended, and its upstream lives; true when there is more to tell. */
-  survived(now: number, digest: string, isInQuestion: boolean): boolean {
+  /** Records a run that its upstream survived; true if a report was added. */
+  survived(now: number, digest: string, isSuspected: boolean): boolean {
     if (digest === '') {
       return false;
     }
-    this.remember(digest);
-    return isInQuestion && this.tellSurvival(now, digest);
+    this.countSurvival(digest);
+    return isSuspected && this.addSurvival(now, digest);
   }
 
   /**
-   * The upstream ended while it ran these; true when there is more to tell.
-   * @param program Version of the upstream's program; undefined where it is not told.
+   * Records that the upstream crashed while it ran these requests; true if a
+   * report was added.
+   * @param program Version of the upstream's program; undefined if unknown.
    */
   crashed(now: number, digests: readonly string[], program?: string): boolean {
-    const guilty = [...new Set(digests)].filter(
+    const suspects = [...new Set(digests)].filter(
       (digest) => digest !== '' && !this.isExcused(digest),
     );
-    this.tell(
+    this.addReports(
       now,
-      guilty.map((digest) => ({
+      suspects.map((digest) => ({
         digest,
         at: Math.round(now),
         hasCrashed: true,
         program,
       })),
     );
-    return guilty.length > 0;
+    return suspects.length > 0;
   }
 
-  /** A request has come into question; true when it has ended well here. */
+  /** Reports a survival if the request has one here; true if one was added. */
   questioned(now: number, digest: string): boolean {
-    return this.survivors.has(digest) && this.tellSurvival(now, digest);
+    return this.survivalCounts.has(digest) && this.addSurvival(now, digest);
   }
 
-  /** What a request did up to then counts no more; true when there is less to tell. */
+  /** Drops the reports that a lift makes void; true if any was dropped. */
   lifted({digest, at}: QuarantineLift): boolean {
-    const before = this.told.length;
-    this.told = this.told.filter(
+    const before = this.published.length;
+    this.published = this.published.filter(
       (report) => report.digest !== digest || report.at > at,
     );
-    return this.told.length < before;
+    return this.published.length < before;
   }
 
-  /** An earlier process of this box told these; true when they were not known. */
+  /** Adopts reports of an earlier process of this box; true if any was new. */
   adopt(now: number, reports: readonly RunReport[]): boolean {
-    const known = new Set(this.told.map(keyOf));
-    const earlier = reports.filter((report) => !known.has(keyOf(report)));
-    const before = this.told;
-    this.told = kept(now, [...earlier, ...this.told]);
-    return !areSameReports(before, this.told);
+    const known = new Set(this.published.map(reportIdentity));
+    const earlier = reports.filter(
+      (report) => !known.has(reportIdentity(report)),
+    );
+    const before = this.published;
+    this.published = retained(now, [...earlier, ...this.published]);
+    return !areSameReports(before, this.published);
   }
 
-  /** Each run that ended well excuses one end: it may be another request's doing. */
+  /** Each survived run excuses one crash, maybe caused by another request. */
   private isExcused(digest: string): boolean {
-    const runs = this.survivors.get(digest);
+    const runs = this.survivalCounts.get(digest);
     if (runs === undefined) {
       return false;
     }
     if (runs > 1) {
-      this.survivors.set(digest, runs - 1);
+      this.survivalCounts.set(digest, runs - 1);
     } else {
-      this.survivors.delete(digest);
+      this.survivalCounts.delete(digest);
     }
     return true;
   }
 
-  private remember(digest: string): void {
-    const runs = this.survivors.get(digest) ?? 0;
-    this.survivors.delete(digest);
-    this.survivors.set(digest, Math.min(runs + 1, MOST_SURVIVALS));
-    if (this.survivors.size > MOST_SURVIVORS) {
-      const [oldest] = this.survivors.keys();
-      this.survivors.delete(oldest as string);
+  private countSurvival(digest: string): void {
+    const runs = this.survivalCounts.get(digest) ?? 0;
+    this.survivalCounts.delete(digest);
+    this.survivalCounts.set(
+      digest,
+      Math.min(runs + 1, MAXIMUM_SURVIVALS_PER_REQUEST),
+    );
+    if (this.survivalCounts.size > MAXIMUM_SURVIVED_REQUESTS) {
+      const [oldest] = this.survivalCounts.keys();
+      this.survivalCounts.delete(oldest as string);
     }
   }
 
-  private tellSurvival(now: number, digest: string): boolean {
-    const toldOf = this.told.filter(
+  private addSurvival(now: number, digest: string): boolean {
+    const survivalReports = this.published.filter(
       (report) => report.digest === digest && !report.hasCrashed,
     );
-    if (toldOf.length >= MOST_SURVIVALS) {
+    if (survivalReports.length >= MAXIMUM_SURVIVALS_PER_REQUEST) {
       return false;
     }
-    this.tell(now, [{digest, at: Math.round(now), hasCrashed: false}]);
+    this.addReports(now, [{digest, at: Math.round(now), hasCrashed: false}]);
     return true;
   }
 
-  private tell(now: number, reports: readonly RunReport[]): void {
-    this.told = kept(now, [...this.told, ...reports]);
+  private addReports(now: number, reports: readonly RunReport[]): void {
+    this.published = retained(now, [...this.published, ...reports]);
   }
 }
 
-function kept(
+function retained(
   now: number,
   reports: readonly RunReport[],
 ): readonly RunReport[] {
@@ -130,6 +137,6 @@
     .slice(-MOST_REPORTS);
 }
 
-function keyOf({digest, at, hasCrashed}: RunReport): string {
+function reportIdentity({digest, at, hasCrashed}: RunReport): string {
   return `${digest} ${at} ${hasCrashed}`;
 }
--- a/packages/quarantine/src/quarantine.ts
+++ b/packages/quarantine/src/quarantine.ts
@@ -1,8 +1,9 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
 /**
- * Which requests no upstream is to run. A request that has ended three upstreams, and
- * more of them than it left alive, is kept out everywhere: its caller that sends it again
- * and again would end all upstreams of a service, time after time.
+ * Quarantine of requests that crash upstreams. A request that has crashed three
+ * upstreams, and more often than it was survived, is refused everywhere:
+ * otherwise a caller that keeps sending it would repeatedly crash all upstreams
+ * of a service.
  */
 
 import type {QuarantineLift} from './quarantineLift.js';
@@ -10,98 +11,100 @@
 import type {RunReport} from './runReport.js';
 
 /**
- * Ends of upstreams after which a request is kept out. One or two have other causes:
- * a call that shares an upstream with the one that ends it, and is then sent to a
- * second one, has been there twice without any part in it.
+ * Crashes after which a request is quarantined. One or two may be coincidence:
+ * a harmless call that runs next to the one that crashes the upstream, and is
+ * then retried on a second upstream, may be present at two crashes.
  */
 export const CRASHES_TO_QUARANTINE = 3;
 
 /**
- * Time since the last end for which a request is kept out. It runs once more then:
- * at most three times a day if it still ends each upstream that runs it.
+ * Duration of the quarantine since the last crash. The request may then run
+ * again: at most three times a day if it still crashes each upstream.
  */
 export const QUARANTINE_MILLISECONDS = 8 * 60 * 60 * 1000;
 
-/** Requests watched at most; the ones reported last stay. */
-const MOST_SUSPECTS = 1000;
+/** Maximum number of suspects; the most recently added ones are kept. */
+const MAXIMUM_SUSPECTS = 1000;
 
-/** Reports kept of one request, the newest; they bound the memory of all. */
-const MOST_REPORTS_OF_SUSPECT = 16;
+/** Maximum number of reports kept per request, which bounds the memory used. */
+const MAXIMUM_REPORTS_PER_SUSPECT = 16;
 
-/** What is known of one request that was running when an upstream ended. */
+/** Status of a request that was running when an upstream crashed. */
 export interface SuspectStanding {
   readonly digest: string;
   readonly crashes: number;
   readonly survived: number;
-  /** It is kept out until then, in milliseconds since 1970; 0 when it is not. */
+  /** End of the quarantine, in milliseconds since 1970; 0 if there is none. */
   readonly until: number;
-  /** Up to then runs count no more, in milliseconds since 1970; 0 for never lifted. */
+  /** Time of the last lift, in milliseconds since 1970; 0 if never lifted. */
   readonly liftedAt: number;
 }
 
-/** A request that is kept out, for operators. */
+/** A quarantined request, as shown to operators. */
 export interface QuarantinedRequest {
   readonly digest: string;
-  /** The services whose upstreams have ended under it. */
+  /** The services whose upstreams it has crashed. */
   readonly services: readonly string[];
   readonly crashes: number;
   readonly survived: number;
-  /** Where upstreams have ended under it. */
+  /** The boxes on which it has crashed upstreams. */
   readonly boxes: readonly string[];
-  /** The end that made it one too many, in milliseconds since 1970. */
+  /** Time of the crash that began it, in milliseconds since 1970. */
   readonly since: number;
-  /** In milliseconds since 1970. */
+  /** End of the quarantine, in milliseconds since 1970. */
   readonly until: number;
 }
 
-/** Whether a working upstream of a service runs this version of its program. */
+/** Whether a usable upstream of a service runs this version of its program. */
 export type RunsProgram = (
   service: string,
   program: string | undefined,
 ) => boolean;
 
-/** A report with who tells it. */
-interface HeardReport extends RunReport {
+/** A report with the box that sent it. */
+interface ReceivedReport extends RunReport {
   readonly box: string;
-  /** Empty where it was not known. */
+  /** Empty if unknown. */
   readonly service: string;
 }
 
 interface Suspect {
-  readonly reports: Map<string, HeardReport>;
+  readonly reports: Map<string, ReceivedReport>;
   standing: SuspectStanding;
-  /** The reports that the standing counts as ends of upstreams, oldest first. */
-  crashes: readonly HeardReport[];
+  /** The crash reports that the standing takes into account, oldest first. */
+  crashes: readonly ReceivedReport[];
 }
 
-/** Gathers what all boxes report; the same reports give the same verdicts. */
+/** Evaluates the reports of all boxes; equal reports give equal results. */
 export class Quarantine {
   private readonly suspects = new Map<string, Suspect>();
-  /** When each request was last lifted; told before or after what it lifts. */
+  /** Time of the last lift by request; it may arrive before the reports. */
   private readonly lifts = new Map<string, number>();
 
   constructor(private readonly runsProgram: RunsProgram = () => true) {}
 
-  /** Requests that are watched. */
+  /** Number of suspects. */
   get size(): number {
     return this.suspects.size;
   }
 
-  /** Whether it matters now that the request has also ended well somewhere. */
+  /** Whether reports of survived runs of the request are needed. */
   wantsSurvivals(digest: string): boolean {
     return isInQuestion(this.suspects.get(digest)?.standing);
   }
 
-  /** How much longer no upstream is to run a request, in milliseconds; 0 if one may. */
+  /** Remaining quarantine of a request in milliseconds; 0 if it may run. */
   remaining(now: number, digest: string): number {
     const suspect = this.suspects.get(digest);
     const remaining = Math.max(0, (suspect?.standing.until ?? 0) - now);
-    return suspect !== undefined && remaining > 0 && this.isStillRun(suspect)
+    return suspect !== undefined &&
+      remaining > 0 &&
+      this.isCrashedVersionRunning(suspect)
       ? remaining
       : 0;
   }
 
-  /** All requests that no upstream is to run now. */
+  /** All requests that are quarantined now. */
   all(now: number): readonly QuarantinedRequest[] {
     return [...this.suspects.keys()]
       .filter((digest) => this.remaining(now, digest) > 0)
@@ -111,7 +114,7 @@
       });
   }
 
-  /** An operator lifts a quarantine now; undefined where there is none. */
+  /** Creates the lift of a quarantine; undefined if there is no quarantine. */
   lift(now: number, digest: string): QuarantineLift | undefined {
     const suspect = this.suspects.get(digest);
     if (suspect === undefined || this.remaining(now, digest) === 0) {
@@ -121,7 +124,7 @@
     return {digest, at: Math.max(Math.round(now), newest)};
   }
 
-  /** Takes in what a box reports; returns the suspects that this is news of. */
+  /** Adds the reports of a box; returns the suspects that have new reports. */
   learn(
     now: number,
     box: string,
@@ -130,74 +133,75 @@
   ): readonly SuspectStanding[] {
     const changed = new Set<string>();
     for (const report of reports) {
-      if (this.take(now, {...report, box, service})) {
+      if (this.addReport(now, {...report, box, service})) {
         changed.add(report.digest);
       }
     }
-    return [...changed].flatMap((digest) => this.judge(digest) ?? []);
+    return [...changed].flatMap((digest) => this.assess(digest) ?? []);
   }
 
-  /** Takes in lifts that a box tells; returns the suspects that this is news of. */
+  /** Adds lifts from a box; returns the suspects that they change. */
   learnLifts(
     now: number,
     lifts: readonly QuarantineLift[],
   ): readonly SuspectStanding[] {
     return lifts.flatMap(({digest, at}) => {
-      // A clock that is ahead must not let a request run for longer.
+      // A clock that is ahead must not extend the effect of a lift.
       const liftedAt = Math.min(at, now);
       if (liftedAt <= (this.lifts.get(digest) ?? 0)) {
         return [];
       }
       this.lifts.delete(digest);
       this.lifts.set(digest, liftedAt);
-      dropFirstBeyond(this.lifts, MOST_SUSPECTS);
-      return this.judge(digest) ?? [];
+      dropFirstEntryBeyond(this.lifts, MAXIMUM_SUSPECTS);
+      return this.assess(digest) ?? [];
     });
   }
 
   /**
-   * A new version of the program may bear the request. It is tried once no working
-   * upstream runs a version that has ended under it: a run before might meet an old one.
+   * Whether a usable upstream runs a program version that the request crashed.
+   * A new version may handle the request, but it is tried only once the old one
+   * is gone everywhere, since the call might otherwise reach an old upstream.
    */
-  private isStillRun({crashes}: Suspect): boolean {
+  private isCrashedVersionRunning({crashes}: Suspect): boolean {
     return crashes.some(({service, program}) =>
       this.runsProgram(service, program),
     );
   }
 
-  private take(now: number, report: HeardReport): boolean {
+  private addReport(now: number, report: ReceivedReport): boolean {
     const {digest, box} = report;
     if (now - report.at > REPORT_LIFE_MILLISECONDS) {
       return false;
     }
-    const suspect = this.suspects.get(digest) ?? this.add(digest);
+    const suspect = this.suspects.get(digest) ?? this.addSuspect(digest);
     const key = reportKey(box, report);
     if (suspect.reports.has(key)) {
       return false;
     }
-    // A clock that is ahead must not keep a request out for longer.
+    // A clock that is ahead must not prolong a quarantine.
     const at = Math.min(report.at, now);
     suspect.reports.set(key, {...report, at});
-    dropOldest(suspect.reports);
+    dropOldestReport(suspect.reports);
     return true;
   }
 
-  private add(digest: string): Suspect {
+  private addSuspect(digest: string): Suspect {
     const standing = {digest, crashes: 0, survived: 0, until: 0, liftedAt: 0};
     const suspect: Suspect = {reports: new Map(), standing, crashes: []};
     this.suspects.set(digest, suspect);
-    dropFirstBeyond(this.suspects, MOST_SUSPECTS);
+    dropFirstEntryBeyond(this.suspects, MAXIMUM_SUSPECTS);
     return suspect;
   }
 
-  private judge(digest: string): SuspectStanding | undefined {
+  private assess(digest: string): SuspectStanding | undefined {
     const suspect = this.suspects.get(digest);
     if (suspect === undefined) {
       return undefined;
     }
     const liftedAt = this.lifts.get(digest) ?? 0;
-    const counted = countedOf([...suspect.reports.values()], liftedAt);
-    suspect.standing = standingOf(digest, counted, liftedAt);
+    const counted = countedReports([...suspect.reports.values()], liftedAt);
+    suspect.standing = standingFrom(digest, counted, liftedAt);
     suspect.crashes = counted
       .filter(({hasCrashed}) => hasCrashed)
       .sort((a, b) => a.at - b.at);
@@ -205,23 +209,26 @@
   }
 }
 
-/** One end says little yet, and most suspects of one end are never heard of again. */
+/**
+ * Whether a request is at most one crash short of a quarantine. A single crash
+ * is weak evidence, and most suspects with one crash are never reported again.
+ */
 export function isInQuestion(standing: SuspectStanding | undefined): boolean {
   return (standing?.crashes ?? 0) >= CRASHES_TO_QUARANTINE - 1;
 }
 
-/** Reports that count: neither lifted nor a day older than the newest. */
-function countedOf(
-  reports: readonly HeardReport[],
+/** Reports that are not lifted and at most a day older than the newest. */
+function countedReports(
+  reports: readonly ReceivedReport[],
   liftedAt: number,
-): readonly HeardReport[] {
+): readonly ReceivedReport[] {
   const newest = Math.max(...reports.map(({at}) => at));
   return reports.filter(
     ({at}) => at > liftedAt && newest - at <= REPORT_LIFE_MILLISECONDS,
   );
 }
 
-function standingOf(
+function standingFrom(
   digest: string,
   counted: readonly RunReport[],
   liftedAt: number,
@@ -229,10 +236,10 @@
   const crashed = counted.filter(({hasCrashed}) => hasCrashed);
   const crashes = crashed.length;
   const survived = counted.length - crashes;
-  // One that many callers send is running whenever an upstream ends, and mostly well.
-  const isKeptOut = crashes >= CRASHES_TO_QUARANTINE && crashes > survived;
+  // A popular request often happens to run during a crash; most runs survive.
+  const isQuarantined = crashes >= CRASHES_TO_QUARANTINE && crashes > survived;
   const lastCrashAt = Math.max(0, ...crashed.map(({at}) => at));
-  const until = isKeptOut ? lastCrashAt + QUARANTINE_MILLISECONDS : 0;
+  const until = isQuarantined ? lastCrashAt + QUARANTINE_MILLISECONDS : 0;
   return {digest, crashes, survived, until, liftedAt};
 }
 
@@ -249,9 +256,9 @@
   };
 }
 
-/** The same reports stay, in whatever order they were heard. */
-function dropOldest(reports: Map<string, HeardReport>): void {
-  if (reports.size <= MOST_REPORTS_OF_SUSPECT) {
+/** Drops the oldest report; which one does not depend on the arrival order. */
+function dropOldestReport(reports: Map<string, ReceivedReport>): void {
+  if (reports.size <= MAXIMUM_REPORTS_PER_SUSPECT) {
     return;
   }
   const [oldest] = [...reports].sort(
@@ -261,9 +268,9 @@
   reports.delete(oldest?.[0] ?? '');
 }
 
-/** Maps keep the order in which their keys came. */
-function dropFirstBeyond<K, V>(map: Map<K, V>, most: number): void {
-  if (map.size > most) {
+/** Evicts the first entry beyond the limit; maps iterate in insertion order. */
+function dropFirstEntryBeyond<K, V>(map: Map<K, V>, maximum: number): void {
+  if (map.size > maximum) {
     const [first] = map.keys();
     map.delete(first as K);
   }
--- a/packages/quarantine/src/quarantineLift.ts
+++ b/packages/quarantine/src/quarantineLift.ts
@@ -1,46 +1,52 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** An operator's word that what a request has done so far is to count no more. */
+/** Lifts of quarantines, by which operators void past runs of a request. */
 
 import {REPORT_LIFE_MILLISECONDS} from './runReport.js';
 
-/** One such word. */
+/** The lift of the quarantine of one request. */
 export interface QuarantineLift {
   readonly digest: string;
-  /** Runs up to then count no more, in milliseconds since 1970. */
+  /** Runs up to this time are ignored, in milliseconds since 1970. */
   readonly at: number;
 }
 
-/** Lifts that a box tells at most, the newest; more go through other boxes. */
+/**
+ * Maximum number of lifts that a box publishes, the newest ones. Further lifts
+ * can be made through other boxes.
+ */
 export const MOST_LIFTS = 32;
 
-/** Lifts of one box, the newest of each request. */
+/** Lifts made on one box, the newest of each request. */
 export class OwnLifts {
-  private told: readonly QuarantineLift[] = [];
+  private published: readonly QuarantineLift[] = [];
 
-  /** What the other boxes are to know. */
+  /** The lifts to publish to the other boxes. */
   get all(): readonly QuarantineLift[] {
-    return this.told;
+    return this.published;
   }
 
-  /** Adds lifts; true when there is more to tell. Reports do not outlive a lift. */
+  /**
+   * Adds lifts; true if the published list changes. A lift is kept for as long
+   * as the reports that it voids.
+   */
   add(now: number, lifts: readonly QuarantineLift[]): boolean {
-    const before = this.told;
+    const before = this.published;
     const newest = new Map<string, QuarantineLift>();
-    for (const lift of [...this.told, ...lifts]) {
+    for (const lift of [...this.published, ...lifts]) {
       const known = newest.get(lift.digest)?.at ?? Number.NEGATIVE_INFINITY;
       if (lift.at > known) {
         newest.delete(lift.digest);
         newest.set(lift.digest, lift);
       }
     }
-    this.told = [...newest.values()]
+    this.published = [...newest.values()]
       .filter(({at}) => now - at <= REPORT_LIFE_MILLISECONDS)
       .slice(-MOST_LIFTS);
-    return !areSameLifts(before, this.told);
+    return !areSameLifts(before, this.published);
   }
 }
 
-/** Whether two lists of lifts of one box say the same. */
+/** Whether two lists of lifts are equal. */
 export function areSameLifts(
   a: readonly QuarantineLift[],
   b: readonly QuarantineLift[],
--- a/packages/quarantine/src/runReport.ts
+++ b/packages/quarantine/src/runReport.ts
@@ -1,33 +1,34 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** What boxes tell each other of the runs of suspect requests. */
+/** Reports that boxes exchange on the runs of suspect requests. */
 
-/** How one run of a request ended. */
+/** The outcome of one run of a request. */
 export interface RunReport {
-  /** The same for all requests that an upstream cannot tell apart. */
+  /** Equal for all requests that an upstream cannot distinguish. */
   readonly digest: string;
-  /** By the clock of the box that tells, in milliseconds since 1970. */
+  /** By the clock of the reporting box, in milliseconds since 1970. */
   readonly at: number;
-  /** The upstream's process ended while it ran the request. */
+  /** Whether the upstream's process ended while it ran the request. */
   readonly hasCrashed: boolean;
-  /** Version of the program that ran it; absent where upstreams do not tell it. */
+  /** Version of the upstream's program; absent if it is not reported. */
   readonly program?: string | undefined;
 }
 
 /**
- * Reports that a box tells at most, the newest. Four ends of an upstream with four
- * slots fill them; all boxes have learnt of the first by then.
+ * Maximum number of reports that a box publishes, the newest ones. Four crashes
+ * of an upstream with four slots fill the list; by then all boxes have received
+ * the first reports.
  */
 export const MOST_REPORTS = 16;
 
-/** A report counts for a day: whoever sends the request again mostly does so soon. */
+/** Reports count for a day, since most callers repeat a request soon. */
 export const REPORT_LIFE_MILLISECONDS = 24 * 60 * 60 * 1000;
 
-/** Tells a report apart from all others of its request. */
+/** Identifies a report among all reports on its request. */
 export function reportKey(box: string, {at, hasCrashed}: RunReport): string {
   return `${box} ${at} ${hasCrashed}`;
 }
 
-/** Whether two lists of reports of one box say the same. */
+/** Whether two lists of reports from one box are equal. */
 export function areSameReports(
   a: readonly RunReport[],
   b: readonly RunReport[],
