--- a/packages/fleet/src/boxDirectory.ts
+++ b/packages/fleet/src/boxDirectory.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** All boxes that a node knows, with the upstreams they guard. */
+/** Directory of all known boxes and the upstreams they guard. */
 
 import type {Resource} from '@lockpin/types';
 import {STABLE_HASH_RANGE, readerRank, stableHash} from '@lockpin/utils';
@@ -7,26 +7,29 @@
 import type {BoxRecord} from './boxRecord.js';
 import type {NodeIdentity} from './nodeIdentity.js';
 
-/** Records live for minutes; looking through all of them more often is in vain. */
+/**
+ * Records live for minutes, so scanning for expired ones more often gains
+ * nothing.
+ */
 const EXPIRY_CHECK_MILLISECONDS = 1000;
 
-/** Keeps the newest statement of each box. */
+/** Keeps the newest record of each box. */
 export class BoxDirectory {
   private readonly records = new Map<string, BoxRecord>();
   private readonly byAddress = new Map<string, BoxRecord>();
   private readonly counts = new Map<string, number>();
   private declared: ReadonlySet<string> | undefined;
   private currentDigest = 0;
-  private memberChanges = 0;
-  private expireAt = 0;
+  private membershipVersion = 0;
+  private nextExpiryCheckAt = 0;
   private readonly ranked = new Map<string, readonly NodeIdentity[]>();
-  private knownDataCentres: readonly string[] | undefined;
-  private knownWorking: readonly string[] | undefined;
+  private cachedDataCentres: readonly string[] | undefined;
+  private cachedWorking: readonly string[] | undefined;
   private readonly upstreams = new Map<
     string,
     readonly Resource<'Upstream'>[]
   >();
-  /** The versions of programs that working upstreams run, by service. */
+  /** Program versions of the upstreams that take work, by service. */
   private programs: ReadonlyMap<string, ReadonlySet<string>> | undefined;
 
   get size(): number {
@@ -37,7 +40,7 @@
     return [...this.records.values()];
   }
 
-  /** The same on two nodes that know the same statements. */
+  /** Equal on two nodes that hold the same records. */
   get digest(): number {
     return this.currentDigest;
   }
@@ -46,20 +49,20 @@
     return this.records.get(box);
   }
 
-  /** The data centre of the node at an address; undefined when it is not known. */
+  /** The data centre of the node at an address; undefined if unknown. */
   dataCentreAt(peerAddress: string): string | undefined {
     return this.byAddress.get(peerAddress)?.dataCentre;
   }
 
-  /** Another number when a box came or went, or is elsewhere. */
+  /** Changes whenever a box is added, removed or moved. */
   get members(): number {
-    return this.memberChanges;
+    return this.membershipVersion;
   }
 
-  /** Boxes whose services nobody declared are neither called nor asked. */
+  /** Boxes of undeclared services are neither called nor queried. */
   declare(services: ReadonlySet<string>): void {
     this.declared = services;
-    this.placesChanged();
+    this.invalidateTopology();
   }
 
   private isUsable(record: BoxRecord | undefined): boolean {
@@ -68,69 +71,68 @@
     );
   }
 
-  /** Takes in a statement; false when a newer one is known already. */
+  /** Stores a record; false if a record at least as new is already known. */
   put(record: BoxRecord): boolean {
     const known = this.records.get(record.box);
     if (known !== undefined && known.statedAt >= record.statedAt) {
       return false;
     }
-    if (this.isElsewhere(known, record)) {
-      this.memberChanges += 1;
+    if (this.hasMoved(known, record)) {
+      this.membershipVersion += 1;
     }
     this.remove(known);
     this.records.set(record.box, record);
     this.byAddress.set(record.peerAddress, record);
-    this.addToDigest(stableHash(statementOf(record)));
+    this.addToDigest(stableHash(recordKey(record)));
     this.addToCount(record.service, 1);
     if (
-      this.isElsewhere(known, record) ||
+      this.hasMoved(known, record) ||
       this.isUsable(known) !== this.isUsable(record)
     ) {
-      this.placesChanged();
+      this.invalidateTopology();
     } else {
-      this.changed();
+      this.invalidateUpstreams();
     }
     return true;
   }
 
-  private isElsewhere(
-    known: BoxRecord | undefined,
-    record: BoxRecord,
-  ): boolean {
+  private hasMoved(known: BoxRecord | undefined, record: BoxRecord): boolean {
     return (
       known?.dataCentre !== record.dataCentre ||
       known.peerAddress !== record.peerAddress
     );
   }
 
-  /** Forgets boxes that have not renewed their records; says which. */
+  /**
+   * Removes boxes that have not renewed their records, and returns their names.
+   */
   expire(now: number): readonly string[] {
-    if (now < this.expireAt) {
+    if (now < this.nextExpiryCheckAt) {
       return [];
     }
-    this.expireAt = now + EXPIRY_CHECK_MILLISECONDS;
+    this.nextExpiryCheckAt = now + EXPIRY_CHECK_MILLISECONDS;
     const expired = this.all().filter(
       ({statedAt}) => now - statedAt > RECORD_LIFE_MILLISECONDS,
     );
     for (const record of expired) {
       this.remove(record);
-      this.memberChanges += 1;
-      this.placesChanged();
+      this.membershipVersion += 1;
+      this.invalidateTopology();
     }
     return expired.map(({box}) => box);
   }
 
   /** The data centres of all boxes. */
   get dataCentres(): readonly string[] {
-    this.knownDataCentres ??= [
+    this.cachedDataCentres ??= [
       ...new Set(this.all().map(({dataCentre}) => dataCentre)),
     ].sort();
-    return this.knownDataCentres;
+    return this.cachedDataCentres;
   }
 
   /**
-   * The boxes of a data centre whose upstreams take work, in the order in which
-   * their nodes read the store for the others: those that are about to leave do not.
+   * The boxes of a data centre whose upstreams take work, in order of reader
+   * rank. Boxes that are about to leave are not eligible as readers.
    */
   rankedIn(dataCentre: string): readonly NodeIdentity[] {
     const found = this.ranked.get(dataCentre);
@@ -148,27 +150,33 @@
     return made;
   }
 
-  /** The boxes whose upstreams take work; the same list until something changes. */
+  /**
+   * The boxes whose upstreams take work; the same array until something
+   * changes.
+   */
   get working(): readonly string[] {
-    this.knownWorking ??= this.all()
+    this.cachedWorking ??= this.all()
       .filter((record) => this.isUsable(record))
       .map(({box}) => box)
       .sort();
-    return this.knownWorking;
+    return this.cachedWorking;
   }
 
-  /** Some box says something else of its upstream. */
-  private changed(): void {
+  /** Called when the upstream of any box has changed. */
+  private invalidateUpstreams(): void {
     this.upstreams.clear();
     this.programs = undefined;
   }
 
-  /** Other boxes can be used than before, or elsewhere; most statements leave that. */
-  private placesChanged(): void {
-    this.changed();
-    this.knownWorking = undefined;
+  /**
+   * Called when the set of usable boxes or their locations changed; most
+   * records change neither.
+   */
+  private invalidateTopology(): void {
+    this.invalidateUpstreams();
+    this.cachedWorking = undefined;
     this.ranked.clear();
-    this.knownDataCentres = undefined;
+    this.cachedDataCentres = undefined;
   }
 
   private remove(record: BoxRecord | undefined): void {
@@ -179,7 +187,7 @@
     if (this.byAddress.get(record.peerAddress) === record) {
       this.byAddress.delete(record.peerAddress);
     }
-    this.addToDigest(STABLE_HASH_RANGE - stableHash(statementOf(record)));
+    this.addToDigest(STABLE_HASH_RANGE - stableHash(recordKey(record)));
     this.addToCount(record.service, -1);
   }
 
@@ -191,18 +199,21 @@
     this.currentDigest = (this.currentDigest + hash) % STABLE_HASH_RANGE;
   }
 
-  /** How many boxes are known to guard an upstream of a service. */
+  /** The number of known boxes that guard an upstream of a service. */
   countOf(service: string): number {
     return this.counts.get(service) ?? 0;
   }
 
-  /** Whether a working upstream of a service runs a version of its program. */
+  /**
+   * Whether an upstream of the service that takes work runs this program
+   * version.
+   */
   runsProgram(service: string, program = ''): boolean {
     this.programs ??= programsOf(this.all().filter(({takesWork}) => takesWork));
     return this.programs.get(service)?.has(program) ?? false;
   }
 
-  /** The upstreams of a service; the same list until something changes. */
+  /** The upstreams of a service; the same array until something changes. */
   upstreamsOf(
     service: string,
     mostConnections: number,
@@ -220,8 +231,8 @@
   }
 }
 
-/** Tells a statement of a box apart from its earlier ones and from other boxes'. */
-function statementOf({box, statedAt}: BoxRecord): string {
+/** Identifies one version of one box's record. */
+function recordKey({box, statedAt}: BoxRecord): string {
   return `${box} ${statedAt}`;
 }
 
@@ -246,7 +257,7 @@
     name: upstreamName(service, box),
     version: record.statedAt,
     spec: {
-      // Only the guard on its own box connects to an upstream.
+      // Only the guard on the same box connects to an upstream.
       address: '',
       dataCentre,
       box,
--- a/packages/fleet/src/boxLearning.ts
+++ b/packages/fleet/src/boxLearning.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** What a node learns of boxes, from the store and from peers, and whom it tells. */
+/** Applies box records from the store and from peers, and forwards changes. */
 
 import type {Era} from '@lockpin/types';
 import {stableHash} from '@lockpin/utils';
@@ -20,15 +20,16 @@
 import type {SuspectRequests} from './suspectRequests.js';
 
 /**
- * What a node learns of at its start is no news to others, and they are told of it as of
- * any record. Clocks of boxes differ by seconds.
+ * Run reports older than this are not broadcast but sent to followers like any
+ * other, so that what a node learns at its start does not count as new. Box
+ * clocks differ by seconds.
  */
-const NEWS_MILLISECONDS = 60_000;
+const RECENT_MILLISECONDS = 60_000;
 
-/** Where what is learnt goes. */
+/** The components that box records are passed to. */
 export interface BoxLearningContext {
   readonly identity: NodeIdentity;
-  /** Those that boxes may name; any where none are given. */
+  /** Data centres that boxes may name; any if empty. */
   readonly dataCentres: readonly string[];
   readonly directory: BoxDirectory;
   readonly ownRecord: OwnRecord;
@@ -36,22 +37,28 @@
   readonly suspects: SuspectRequests;
   readonly runNews: RunNews;
   readonly lostRecords: LostRecords;
-  /** Whether of all readers of the store this node acts for boxes that are gone. */
+  /**
+   * Whether this node maintains records of departed boxes on behalf of all
+   * readers.
+   */
   readonly actsForOthers: () => boolean;
 }
 
-/** Takes in records; what is none changes nothing of what is known. */
+/**
+ * Validates and applies records; an invalid record leaves the known state
+ * unchanged.
+ */
 export class BoxLearning {
-  private wrong = 0;
+  private invalid = 0;
 
   constructor(private readonly context: BoxLearningContext) {}
 
-  /** Records that were none, since the process began. */
+  /** Invalid records since the process started. */
   get wrongCount(): number {
-    return this.wrong;
+    return this.invalid;
   }
 
-  /** The store brought records. */
+  /** Handles records read from the store. */
   fromStore(now: number, page: RecordPage): readonly FleetAction[] {
     const records: BoxRecord[] = [];
     const problems: FleetAction[] = [];
@@ -59,35 +66,35 @@
       if (value === undefined) {
         continue;
       }
-      const read = readBoxRecord(this.checkedAgainst(now), key, value);
+      const read = readBoxRecord(this.recordContext(now), key, value);
       if (read.ok) {
         records.push(read.value);
       } else {
-        problems.push(...this.isWrong(key, 'store', read.failure));
+        problems.push(...this.reject(key, 'store', read.failure));
       }
     }
-    const told = records.flatMap((record) =>
-      this.stored(now, record, page.end.era),
+    const notifications = records.flatMap((record) =>
+      this.handleStoredRecord(now, record, page.end.era),
     );
-    const dropped = page.isWhole ? this.readAll(now, records) : [];
-    return [...problems, ...told, ...dropped];
+    const deletions = page.isWhole ? this.handleSnapshot(now, records) : [];
+    return [...problems, ...notifications, ...deletions];
   }
 
-  /** Some records of boxes that were forgotten may be back after a restore. */
-  private readAll(
+  /** After a restore the store may again contain records of expired boxes. */
+  private handleSnapshot(
     now: number,
     records: readonly BoxRecord[],
   ): readonly FleetAction[] {
-    const {lostRecords, actsForOthers} = this.context;
+    const {lostRecords, actsForOthers: isMaintainer} = this.context;
     lostRecords.readAll(now, records);
-    return actsForOthers()
+    return isMaintainer()
       ? records
           .filter((record) => isForgotten(now, record))
           .map(({box}) => ({kind: 'drop-record', key: box}))
       : [];
   }
 
-  private stored(
+  private handleStoredRecord(
     now: number,
     record: BoxRecord,
     era: Era,
@@ -97,52 +104,60 @@
       ownRecord.found(now, record, era);
     }
     lostRecords.found(record);
-    this.learn(now, record);
-    return this.tellOfOldStatement(record);
+    this.apply(now, record);
+    return this.notifyOutdatedRecord(record);
   }
 
-  /** A peer brought records; they are checked like those of the store. */
+  /**
+   * Handles records from a peer; they are validated like those of the store.
+   */
   fromPeer(
     now: number,
     source: string,
     records: readonly BoxRecord[],
   ): readonly FleetAction[] {
     return records.flatMap((record) => {
-      const checked = checkBoxRecord(this.checkedAgainst(now), record);
+      const checked = checkBoxRecord(this.recordContext(now), record);
       if (checked.ok) {
-        this.told(now, checked.value);
+        this.handlePeerRecord(now, checked.value);
         return [];
       }
       const key = String((record as BoxRecord | null)?.box);
-      return this.isWrong(key, source, checked.failure);
+      return this.reject(key, source, checked.failure);
     });
   }
 
-  /** Takes in a good record of this box or of another one. */
+  /** Applies a valid record of this or another box. */
   put(now: number, record: BoxRecord): void {
-    const {directory, followerNews, suspects, runNews} = this.context;
+    const {
+      directory,
+      followerNews: followerUpdates,
+      suspects,
+      runNews: runReportBroadcast,
+    } = this.context;
     if (directory.put(record)) {
       suspects.learn(now, record);
-      if (tellsOfRuns(record) && now - record.statedAt < NEWS_MILLISECONDS) {
-        runNews.learnt(record);
+      if (tellsOfRuns(record) && now - record.statedAt < RECENT_MILLISECONDS) {
+        runReportBroadcast.learnt(record);
       } else {
-        followerNews.boxChanged(record);
+        followerUpdates.boxChanged(record);
       }
     }
   }
 
-  /** Boxes that have not renewed their records are forgotten. */
+  /** Expires boxes that have not renewed their records. */
   forget(now: number): readonly FleetAction[] {
     return this.context.directory
       .expire(now)
-      .flatMap((box) => this.dropRecord(box));
+      .flatMap((box) => this.deleteRecord(box));
   }
 
   /**
-   * The store keeps the newest record of each key for good, and boxes are replaced
-   * every day. Of the nodes that forget a box, one takes its record away.
+   * The store keeps the newest record of each key forever, and boxes are
+   * replaced every day. Of all nodes that expire a box, exactly one deletes its
+   * record.
    */
-  private dropRecord(key: string): readonly FleetAction[] {
+  private deleteRecord(key: string): readonly FleetAction[] {
     const {identity, directory} = this.context;
     const rank = (box: string): number => stableHash(`${box} ${key}`);
     const own = rank(identity.box);
@@ -150,18 +165,20 @@
     return isFirst ? [{kind: 'drop-record', key}] : [];
   }
 
-  /** Of this box a reader tells what the store has, where that is not the newest. */
-  private told(now: number, record: BoxRecord): void {
+  /**
+   * For this box, a reader reports the stored record if it is not the newest.
+   */
+  private handlePeerRecord(now: number, record: BoxRecord): void {
     const {identity, ownRecord, lostRecords} = this.context;
     if (record.box === identity.box) {
       ownRecord.toldOf(now, record);
     } else {
       lostRecords.learnt(now, record);
     }
-    this.learn(now, record);
+    this.apply(now, record);
   }
 
-  private learn(now: number, record: BoxRecord): void {
+  private apply(now: number, record: BoxRecord): void {
     const {identity, suspects} = this.context;
     if (record.box === identity.box) {
       suspects.adopt(now, record);
@@ -170,30 +187,35 @@
     }
   }
 
-  /** A box whose earlier write was done late hears of it, and writes again. */
-  private tellOfOldStatement(record: BoxRecord): readonly FleetAction[] {
+  /**
+   * Notifies a box whose older write was applied late, so that it writes again.
+   */
+  private notifyOutdatedRecord(record: BoxRecord): readonly FleetAction[] {
     const {identity, directory} = this.context;
     const known = directory.get(record.box);
-    const isOld = known !== undefined && known.statedAt > record.statedAt;
-    const isNear = known?.dataCentre === identity.dataCentre;
-    if (!isOld || !isNear || known.box === identity.box) {
+    const isOutdated = known !== undefined && known.statedAt > record.statedAt;
+    const isInOwnDataCentre = known?.dataCentre === identity.dataCentre;
+    if (!isOutdated || !isInOwnDataCentre || known.box === identity.box) {
       return [];
     }
-    const news: FleetNews = {kind: 'boxes', boxes: [record]};
-    return [{kind: 'tell-nodes', addresses: [known.peerAddress], news}];
+    const update: FleetNews = {kind: 'boxes', boxes: [record]};
+    return [{kind: 'tell-nodes', addresses: [known.peerAddress], news: update}];
   }
 
-  private checkedAgainst(now: number): RecordContext {
+  private recordContext(now: number): RecordContext {
     return {now, dataCentres: this.context.dataCentres};
   }
 
-  /** What was known before stays good; the own record is written again. */
-  private isWrong(
+  /**
+   * The known state stays as it is; an invalid record of this box is written
+   * again.
+   */
+  private reject(
     key: string,
     source: string,
     {field, problem}: RecordProblem,
   ): readonly FleetAction[] {
-    this.wrong += 1;
+    this.invalid += 1;
     if (key === this.context.identity.box) {
       this.context.ownRecord.overwritten();
     }
--- a/packages/fleet/src/boxRecord.ts
+++ b/packages/fleet/src/boxRecord.ts
@@ -1,47 +1,61 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** What each box says of itself to the others. */
+/** The record that each box publishes about itself. */
 
 import {areSameLifts, areSameReports} from '@lockpin/quarantine';
 import type {QuarantineLift, RunReport} from '@lockpin/quarantine';
 
-/** One box with the upstream that it guards. The newest statement counts. */
+/**
+ * A box and the upstream it guards. The record with the highest statedAt wins.
+ */
 export interface BoxRecord {
   readonly box: string;
   readonly dataCentre: string;
-  /** Where the node of the box takes calls from other nodes. */
+  /** Where the box's node accepts calls from other nodes. */
   readonly peerAddress: string;
-  /** The service of its upstream; empty before the upstream has announced itself. */
+  /** Service of the upstream; empty before its first announcement. */
   readonly service: string;
   readonly slots: number;
-  /** False from when its upstream said that it drains or leaves. */
+  /** False once the upstream has announced that it drains or leaves. */
   readonly takesWork: boolean;
-  /** The upstream answers slowly until then, in milliseconds since 1970. */
+  /**
+   * The upstream answers slowly until this time, in milliseconds since 1970.
+   */
   readonly coldUntil: number;
-  /** When the box said so, in milliseconds since 1970; rises with each statement. */
+  /**
+   * When the record was made, in milliseconds since 1970; rises with each
+   * version.
+   */
   readonly statedAt: number;
-  /** Runs of suspect requests; absent where there are none to tell of. */
+  /** Runs of suspect requests; absent if there are none. */
   readonly runs?: readonly RunReport[];
-  /** Quarantines that operators have lifted at this box; absent where there are none. */
+  /**
+   * Quarantines that operators lifted at this box; absent if there are none.
+   */
   readonly lifts?: readonly QuarantineLift[];
-  /** Version of its upstream's program; absent where upstreams do not tell it. */
+  /**
+   * Program version of the upstream; absent if upstreams do not announce it.
+   */
   readonly program?: string;
 }
 
-/** Whether a record holds more than its box, on which a promise may hang. */
+/**
+ * Whether a record holds run reports or lifts, which quarantine decisions rely
+ * on.
+ */
 export function tellsOfRuns({runs, lifts}: BoxRecord): boolean {
   return runs !== undefined || lifts !== undefined;
 }
 
 /**
- * A box that has not renewed its record for this long is forgotten. Boxes are
- * replaced for good several times a day in a large fleet.
+ * A box that has not renewed its record for this long is expired. In a large
+ * fleet boxes are replaced permanently several times a day.
  */
 export const RECORD_LIFE_MILLISECONDS = 900_000;
 
-/** A record is renewed at this age, so that two renewals may fail. */
+/** Records are renewed at this age, so that two renewals in a row may fail. */
 export const RECORD_RENEWAL_MILLISECONDS = 300_000;
 
-/** Whether two records say the same, whenever they were stated. */
+/** Whether two records have the same content, apart from their times. */
 export function isSameStatement(a: BoxRecord, b: BoxRecord): boolean {
   return (
     a.box === b.box &&
@@ -56,7 +70,7 @@
   );
 }
 
-/** The stored form of a record. */
+/** Encodes a record for the store. */
 export function writeBoxRecord(record: BoxRecord): Buffer {
   return Buffer.from(JSON.stringify(record));
 }
--- a/packages/fleet/src/callPriority.ts
+++ b/packages/fleet/src/callPriority.ts
@@ -1,13 +1,13 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** How urgent a call is where customers have priorities of their own. */
+/** Priority of a call in a fleet whose customers have priorities. */
 
-/** Priorities are one digit each. */
+/** Priorities are single digits. */
 const PRIORITIES = 10;
 
 /**
- * The customer's priority goes before that of its routes, which orders the calls of
- * customers that are as urgent as each other. A call without a customer counts as one
- * of a customer that is as urgent as its route.
+ * The customer's priority ranks above the route's, which only orders calls of
+ * customers with equal priority. A call without a customer is ranked as if its
+ * customer had the priority of the route.
  */
 export function callPriority(
   customer: number | undefined,
--- a/packages/fleet/src/checkAnnouncement.ts
+++ b/packages/fleet/src/checkAnnouncement.ts
@@ -1,12 +1,15 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Whether an announcement names an upstream that work may go to. */
+/** Validates upstream announcements before work is sent to the upstream. */
 
 import {parseAddress} from '@lockpin/utils';
 import type {DeclaredConfiguration} from './declaredConfiguration.js';
 import type {NodeIdentity} from './nodeIdentity.js';
 import type {AnnouncementProblem, UpstreamAnnouncement} from './ownUpstream.js';
 
-/** Whoever leaves is believed; work goes only to what is declared, and here. */
+/**
+ * An announcement of draining or leaving is always accepted; a ready upstream
+ * must be of a declared service and on this box.
+ */
 export function checkAnnouncement(
   {state, service, address}: UpstreamAnnouncement,
   {peerAddress}: NodeIdentity,
@@ -20,14 +23,17 @@
   if (configuration !== undefined && !isDeclared) {
     return {field: 'service', problem: 'is not declared'};
   }
-  return isOnBoxOf(peerAddress, address)
+  return isOnSameHost(peerAddress, address)
     ? undefined
-    : {field: 'address', problem: 'is not on the box of this node'};
+    : {field: 'address', problem: 'must be on the same box as this node'};
 }
 
-/** An upstream shares its box, and so the IP number, with the node that guards it. */
-function isOnBoxOf(peerAddress: string, address: string): boolean {
+/**
+ * An upstream shares its box, and so its IP address, with the node that guards
+ * it.
+ */
+function isOnSameHost(peerAddress: string, address: string): boolean {
   const own = parseAddress(peerAddress);
-  const told = parseAddress(address);
-  return told !== undefined && (own === undefined || own.host === told.host);
+  const sent = parseAddress(address);
+  return sent !== undefined && (own === undefined || own.host === sent.host);
 }
--- a/packages/fleet/src/checkBoxRecord.ts
+++ b/packages/fleet/src/checkBoxRecord.ts
@@ -1,8 +1,8 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
 /**
- * Whether what is found among the records of boxes is one. Records come from the store
- * and from peers, and anybody who reaches the store can write there: one with a time
- * years ahead would be the newest statement of its box for good.
+ * Validates box records. They come from the store and from peers, and anyone
+ * who can reach the store can write to it: a record dated years ahead would
+ * stay the newest of its box forever.
  */
 
 import {MOST_LIFTS, MOST_REPORTS} from '@lockpin/quarantine';
@@ -10,74 +10,78 @@
 import {failure, parseAddress, success} from '@lockpin/utils';
 import type {BoxRecord} from './boxRecord.js';
 
-/** What is wrong with a record. */
+/** The field of a record that is invalid, and why. */
 export interface RecordProblem {
   readonly field: keyof BoxRecord | 'record';
   readonly problem: string;
 }
 
-/** What a record is checked against. */
+/** Settings that records are validated against. */
 export interface RecordContext {
   readonly now: number;
-  /** Empty where they are not declared. */
+  /** Empty if data centres are not declared. */
   readonly dataCentres: readonly string[];
 }
 
-/** Clocks of boxes differ by seconds, and may be set by some. */
+/** Box clocks differ by seconds, and some may be set manually. */
 export const MOST_AHEAD_MILLISECONDS = 300_000;
 
-/** An upstream warms up within minutes, not for hours. */
-const LONGEST_COLD_MILLISECONDS = 3_600_000;
+/** Upstreams warm up within minutes, not hours. */
+const MAXIMUM_COLD_MILLISECONDS = 3_600_000;
 
-/** More calls at once than any upstream of a box takes. */
-const MOST_SLOTS = 100_000;
+/** More concurrent calls than any upstream on one box can take. */
+const MAXIMUM_SLOTS = 100_000;
 
 /** Names of boxes, services and data centres are short. */
-const LONGEST_NAME = 200;
+const MAXIMUM_NAME_LENGTH = 200;
 
 type Fields = Readonly<Record<string, unknown>>;
 
 type Check = (value: unknown, context: RecordContext) => string | undefined;
 
 const CHECKS: Readonly<Record<keyof BoxRecord, Check>> = {
-  box: (value) => (isName(value) ? undefined : 'give a name'),
+  box: (value) => (isName(value) ? undefined : 'must be 1 to 200 characters'),
   dataCentre: (value, {dataCentres}) =>
     isName(value) && (dataCentres.length === 0 || dataCentres.includes(value))
       ? undefined
-      : 'is not declared',
+      : 'must name a declared data centre',
   peerAddress: (value) =>
     typeof value === 'string' && parseAddress(value) !== undefined
       ? undefined
-      : 'give an address',
+      : 'must be an ip:port address',
   service: (value) =>
-    value === '' || isName(value) ? undefined : 'give a name',
+    value === '' || isName(value)
+      ? undefined
+      : 'must be a string of at most 200 characters',
   slots: (value) =>
-    Number.isSafeInteger(value) && isWithin(value, 0, MOST_SLOTS)
+    Number.isSafeInteger(value) && isWithin(value, 0, MAXIMUM_SLOTS)
       ? undefined
-      : `give a whole number up to ${MOST_SLOTS}`,
+      : `must be an integer from 0 to ${MAXIMUM_SLOTS}`,
   takesWork: (value) =>
-    typeof value === 'boolean' ? undefined : 'give true or false',
+    typeof value === 'boolean' ? undefined : 'must be true or false',
   coldUntil: (value, {now}) =>
-    isWithin(value, 0, now + LONGEST_COLD_MILLISECONDS)
+    isWithin(value, 0, now + MAXIMUM_COLD_MILLISECONDS)
       ? undefined
-      : 'give a time within the next hour',
+      : 'must be a time at most one hour ahead',
   statedAt: (value, {now}) =>
     isWithin(value, 0, now + MOST_AHEAD_MILLISECONDS)
       ? undefined
-      : 'give a time that is not ahead',
+      : 'must be a time at most five minutes ahead',
   runs: (value) =>
     value === undefined || areRunReports(value)
       ? undefined
-      : 'give a list of reports',
+      : 'must be a list of valid run reports',
   lifts: (value, {now}) =>
     value === undefined || areLifts(value, now)
       ? undefined
-      : 'give a list of lifts',
+      : 'must be a list of valid quarantine lifts',
   program: (value) =>
-    value === undefined || isName(value) ? undefined : 'give a version',
+    value === undefined || isName(value)
+      ? undefined
+      : 'must be a string of 1 to 200 characters',
 };
 
-/** Reads a stored record, or says which of its fields is wrong. */
+/** Parses a stored record, or reports the first invalid field. */
 export function readBoxRecord(
   context: RecordContext,
   key: string,
@@ -86,17 +90,19 @@
   const value = parse(bytes);
   const checked = checkBoxRecord(context, value);
   return checked.ok && checked.value.box !== key
-    ? failure({field: 'box', problem: 'is not the one of the key'})
+    ? failure({field: 'box', problem: 'does not match the record key'})
     : checked;
 }
 
-/** The value as a record, or which of its fields is wrong. */
+/**
+ * Validates a decoded value as a record, or reports the first invalid field.
+ */
 export function checkBoxRecord(
   context: RecordContext,
   value: unknown,
 ): Result<BoxRecord, RecordProblem> {
   if (typeof value !== 'object' || value === null || Array.isArray(value)) {
-    return failure({field: 'record', problem: 'is no table'});
+    return failure({field: 'record', problem: 'must be a JSON object'});
   }
   const record = value as BoxRecord;
   for (const field of Object.keys(CHECKS) as (keyof BoxRecord)[]) {
@@ -112,7 +118,7 @@
   try {
     return JSON.parse(bytes.toString('utf8'));
   } catch (error) {
-    // Very many brackets end in a RangeError.
+    // Deeply nested brackets cause a RangeError.
     if (error instanceof SyntaxError || error instanceof RangeError) {
       return undefined;
     }
@@ -122,12 +128,14 @@
 
 function isName(value: unknown): value is string {
   return (
-    typeof value === 'string' && value !== '' && value.length <= LONGEST_NAME
+    typeof value === 'string' &&
+    value !== '' &&
+    value.length <= MAXIMUM_NAME_LENGTH
   );
 }
 
-function isWithin(value: unknown, least: number, most: number): boolean {
-  return typeof value === 'number' && value >= least && value <= most;
+function isWithin(value: unknown, minimum: number, maximum: number): boolean {
+  return typeof value === 'number' && value >= minimum && value <= maximum;
 }
 
 function areRunReports(value: unknown): boolean {
--- a/packages/fleet/src/checkConfiguration.ts
+++ b/packages/fleet/src/checkConfiguration.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** What no declared configuration may hold; one that does is not put in force. */
+/** Validates declared configurations; an invalid one is not put in force. */
 
 import type {
   ConfigurationProblem,
@@ -8,7 +8,7 @@
   DeclaredRoute,
 } from './declaredConfiguration.js';
 
-/** The first problem of a configuration; undefined for a sound one. */
+/** The first problem of a configuration; undefined if it is valid. */
 export function checkConfiguration({
   routes,
   services,
@@ -17,7 +17,7 @@
   const names = new Set(services.map(({name}) => name));
   return (
     firstProblem(routes, (route) => routeProblem(route, names)) ??
-    sharedKey(customers)
+    sharedKeyProblem(customers)
   );
 }
 
@@ -42,7 +42,7 @@
   if (!pathPrefix.startsWith('/') || !pathPrefix.endsWith('/')) {
     return {
       field: `routes.${rules.name}.pathPrefix`,
-      problem: 'begin and end it with a slash',
+      problem: 'must begin and end with a slash',
     };
   }
   const unknown = destinations.find(({service}) => !services.has(service));
@@ -50,12 +50,15 @@
     ? undefined
     : {
         field: `routes.${rules.name}.destinations`,
-        problem: `there is no service ${unknown.service}`,
+        problem: `service ${unknown.service} is not declared`,
       };
 }
 
-/** A key names one customer; of two, one would be charged for the other's calls. */
-function sharedKey(
+/**
+ * A key must identify one customer; otherwise one customer would be charged for
+ * the calls of another.
+ */
+function sharedKeyProblem(
   customers: readonly DeclaredCustomer[],
 ): ConfigurationProblem | undefined {
   const owners = new Map<string, string>();
@@ -68,7 +71,7 @@
       ? undefined
       : {
           field: `customers.${name}.keys`,
-          problem: `customer ${other} has one of them too`,
+          problem: `a key is also assigned to customer ${other}`,
         };
   });
 }
--- a/packages/fleet/src/configurationInForce.ts
+++ b/packages/fleet/src/configurationInForce.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** The configuration that is in force at a node. It never goes back. */
+/** The configuration in force at a node. Its version never decreases. */
 
 import type {Result} from '@lockpin/types';
 import {checkConfiguration} from './checkConfiguration.js';
@@ -11,20 +11,22 @@
 import {note} from './fleetNote.js';
 import type {StoredRecord} from './recordStore.js';
 
-/** Reads the operators' record; undefined for a record that is none. */
+/**
+ * Parses a record written by operators; undefined if it holds no configuration.
+ */
 export type ReadConfiguration = (
   record: StoredRecord,
 ) => Result<DeclaredConfiguration | undefined, ConfigurationProblem>;
 
-/** Takes in newer versions, from the store and from peers. */
+/** Accepts newer versions from the store and from peers. */
 export class ConfigurationInForce {
   private inForce: DeclaredConfiguration | undefined;
-  /** From the store, and not to be served by yet. */
-  private heldBack: DeclaredConfiguration | undefined;
+  /** Read from the store, but not yet allowed to come into force. */
+  private pending: DeclaredConfiguration | undefined;
 
   constructor(
     private readonly read: ReadConfiguration,
-    /** Whether what the store says may not be in force yet. */
+    /** Whether configurations from the store must not come into force yet. */
     private readonly isHolding: () => boolean,
   ) {}
 
@@ -36,27 +38,27 @@
     return this.inForce?.version ?? 0;
   }
 
-  /** A document that cannot be read leaves the version in force as it is. */
+  /** An invalid document leaves the version in force unchanged. */
   take(record: StoredRecord): readonly FleetAction[] {
     const read = this.read(record);
     if (!read.ok) {
-      return [wrong(record.key, read.failure)];
+      return [invalidConfiguration(record.key, read.failure)];
     }
     if (read.value === undefined) {
       return [];
     }
     const problem = checkConfiguration(read.value);
     if (problem !== undefined) {
-      return [wrong(record.key, problem)];
+      return [invalidConfiguration(record.key, problem)];
     }
     if (this.isHolding()) {
-      this.heldBack = newerOf(this.heldBack, read.value);
+      this.pending = newerOf(this.pending, read.value);
       return [];
     }
     return this.adopt(read.value, 'store');
   }
 
-  /** Operators have to know that the store has lost what is in force. */
+  /** Alerts operators that the store has lost the version in force. */
   noteIfOlder(record: StoredRecord): readonly FleetAction[] {
     const read = this.read(record);
     const stored = read.ok ? read.value?.version : undefined;
@@ -66,19 +68,19 @@
       : [note('configuration-older-in-store', String(stored), {version})];
   }
 
-  /** Whether the store has brought something that is not in force yet. */
+  /** Whether a configuration from the store is waiting to come into force. */
   get hasHeldBack(): boolean {
-    return this.heldBack !== undefined;
+    return this.pending !== undefined;
   }
 
-  /** What the store has brought may be in force, unless something newer is. */
+  /** Puts the waiting configuration in force, unless a newer one already is. */
   release(): readonly FleetAction[] {
-    const {heldBack} = this;
-    this.heldBack = undefined;
-    return heldBack === undefined ? [] : this.adopt(heldBack, 'store');
+    const {pending} = this;
+    this.pending = undefined;
+    return pending === undefined ? [] : this.adopt(pending, 'store');
   }
 
-  /** Never goes back: an older version than the one in force is passed over. */
+  /** Ignores versions that are not newer than the one in force. */
   adopt(
     configuration: DeclaredConfiguration,
     source: string,
@@ -98,7 +100,7 @@
   return before !== undefined && before.version > next.version ? before : next;
 }
 
-function wrong(
+function invalidConfiguration(
   key: string,
   {field, problem}: ConfigurationProblem,
 ): FleetAction {
--- a/packages/fleet/src/configurationLearning.ts
+++ b/packages/fleet/src/configurationLearning.ts
@@ -1,5 +1,7 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** How a node comes to the configuration in force, and what follows from a newer one. */
+/**
+ * Obtains the configuration in force and applies the effects of newer versions.
+ */
 
 import type {RandomSource} from '@lockpin/types';
 import type {BoxDirectory} from './boxDirectory.js';
@@ -12,88 +14,96 @@
 import {StartCheck} from './startCheck.js';
 import type {StoreDuty} from './storeDuty.js';
 
-/** What learning goes by, and what is told of newer versions. */
+/**
+ * Dependencies of the handler, and the components that newer versions are
+ * passed to.
+ */
 export interface ConfigurationLearningContext {
   readonly read: ReadConfiguration;
   readonly isFirstStart: boolean;
   readonly directory: BoxDirectory;
   readonly duty: StoreDuty;
   readonly peers: PeerAsking;
-  /** Asks one peer for its configuration. */
+  /** Queries one peer for its configuration. */
   readonly ask: (address: string) => readonly FleetAction[];
 }
 
-/** Takes in documents of the store and of peers; never goes back. */
+/**
+ * Handles configurations from the store and from peers; the version never
+ * decreases.
+ */
 export class ConfigurationLearning {
   readonly inForce: ConfigurationInForce;
-  private readonly startCheck: StartCheck;
+  private readonly startupCheck: StartCheck;
 
   constructor(private readonly context: ConfigurationLearningContext) {
-    this.startCheck = new StartCheck(!context.isFirstStart);
+    this.startupCheck = new StartCheck(!context.isFirstStart);
     this.inForce = new ConfigurationInForce(
       context.read,
-      () => this.startCheck.isHolding,
+      () => this.startupCheck.isHolding,
     );
   }
 
-  /** The store brought documents. */
+  /** Handles documents read from the store. */
   fromStore(now: number, page: RecordPage): readonly FleetAction[] {
     const actions = page.records.flatMap((record) => [
       ...this.inForce.take(record),
       ...(page.isWhole ? this.inForce.noteIfOlder(record) : []),
     ]);
     if (this.inForce.hasHeldBack) {
-      this.startCheck.held(now);
+      this.startupCheck.held(now);
     }
-    return this.noteVersion(actions);
+    return this.applyVersionChange(actions);
   }
 
-  /** A peer has this in force. */
+  /** Handles the configuration that a peer has in force. */
   fromPeer(
     address: string,
     configuration: DeclaredConfiguration,
   ): readonly FleetAction[] {
-    this.startCheck.end();
-    // The peer's first: what the store brought may be older.
-    return this.noteVersion([
+    this.startupCheck.end();
+    // The peer's first, since the store's may be older.
+    return this.applyVersionChange([
       ...this.inForce.adopt(configuration, `peer ${address}`),
       ...this.inForce.release(),
     ]);
   }
 
-  /** A peer has replied, or did not answer in time. */
+  /** A peer replied or timed out. */
   replied(address: string): void {
-    this.startCheck.replied(address);
+    this.startupCheck.replied(address);
   }
 
-  /** What is due now of what a start asks of its peers. */
+  /** Starts the startup queries, or ends them when they are complete. */
   due(now: number, random: RandomSource): readonly FleetAction[] {
-    const asked = this.askAtStart(now, random);
-    const released = this.startCheck.hasEnded(now)
-      ? this.noteVersion(this.inForce.release())
+    const queries = this.queryPeersAtStart(now, random);
+    const released = this.startupCheck.hasEnded(now)
+      ? this.applyVersionChange(this.inForce.release())
       : [];
-    return [...asked, ...released];
+    return [...queries, ...released];
   }
 
-  private askAtStart(
+  private queryPeersAtStart(
     now: number,
     random: RandomSource,
   ): readonly FleetAction[] {
-    const {duty, peers, ask} = this.context;
-    if (!this.startCheck.mayAsk || !duty.hasReadBoxes) {
+    const {duty: readerRole, peers, ask: queryPeer} = this.context;
+    if (!this.startupCheck.mayAsk || !readerRole.hasReadBoxes) {
       return [];
     }
     const addresses = peers.atStart(random);
-    this.startCheck.asked(now, addresses);
-    return addresses.flatMap((address) => ask(address));
+    this.startupCheck.asked(now, addresses);
+    return addresses.flatMap((address) => queryPeer(address));
   }
 
-  /** What was asked of peers for the sake of a newer version is over with it. */
-  private noteVersion(actions: readonly FleetAction[]): readonly FleetAction[] {
+  /** A newer version ends the pending attempts to obtain it. */
+  private applyVersionChange(
+    actions: readonly FleetAction[],
+  ): readonly FleetAction[] {
     if (actions.some(({kind}) => kind === 'configuration-changed')) {
-      const {directory, duty, peers} = this.context;
+      const {directory, duty: readerRole, peers} = this.context;
       peers.versionCame(this.inForce.version);
-      duty.versionCame();
+      readerRole.versionCame();
       const services = this.inForce.current?.services ?? [];
       directory.declare(new Set(services.map(({name}) => name)));
     }
--- a/packages/fleet/src/customerTable.ts
+++ b/packages/fleet/src/customerTable.ts
@@ -1,31 +1,32 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Who a caller is, by the key that it shows. */
+/** Identifies customers by the keys that callers present. */
 
 import {failure, sha256Hex, success} from '@lockpin/utils';
 import type {RefusalReason, Result} from '@lockpin/types';
 import type {RateLimit} from '@lockpin/limits';
 import type {DeclaredCustomer} from './declaredConfiguration.js';
 
-/** Hexadecimal digits of a key's hash that are kept: 128 bits. */
+/** Hexadecimal digits of a key's hash that are stored: 128 bits. */
 const HASH_DIGITS = 32;
 
-/** Digits of it that tell keys apart in a log line. */
+/** Digits of the hash that identify a key in a log line. */
 const FINGERPRINT_DIGITS = 8;
 
 /**
- * What is kept of a key. Keys are long and random, so that a hash without a salt
- * cannot be turned back by trying; half of it keeps configurations small on the wire.
+ * The stored form of a key. Keys are long and random, so an unsalted hash
+ * cannot be reversed by guessing; half of it keeps configurations small on the
+ * wire.
  */
 export function keyHash(key: string): string {
   return sha256Hex(key).slice(0, HASH_DIGITS);
 }
 
-/** Names a key in logs; tells nothing of it that helps to guess it. */
+/** Identifies a key in logs without making it easier to guess. */
 export function keyFingerprint(hash: string): string {
   return hash.slice(0, FINGERPRINT_DIGITS);
 }
 
-/** The customers of one version. */
+/** The customers of one configuration version. */
 export class CustomerTable {
   private readonly owners = new Map<string, DeclaredCustomer>();
   private readonly byName = new Map<string, DeclaredCustomer>();
@@ -37,7 +38,7 @@
     }
   }
 
-  /** Whether callers need a key at all. */
+  /** Whether callers need a key. */
   get asksForKeys(): boolean {
     return this.customers.length > 0;
   }
@@ -54,7 +55,10 @@
       .map(({name}) => name);
   }
 
-  /** The customer that a caller acts for; undefined on a public route without a key. */
+  /**
+   * The customer that a caller acts for; undefined on a public route without a
+   * key.
+   */
   customerOf(
     hash: string | undefined,
     isPublic: boolean,
--- a/packages/fleet/src/fleetBrain.ts
+++ b/packages/fleet/src/fleetBrain.ts
@@ -1,7 +1,8 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
 /**
- * A node's knowledge of its fleet: the configuration in force, the boxes, and
- * its own record among them. Decides by (now, random, event) alone.
+ * State machine of a node's knowledge of its fleet: the configuration in force,
+ * the boxes and the node's own record. Decisions depend only on (now, random,
+ * event).
  */
 
 import type {RandomSource} from '@lockpin/types';
@@ -23,56 +24,56 @@
 import type {StoreEra} from './storeEra.js';
 import type {SuspectRequests} from './suspectRequests.js';
 
-/** Knows the fleet as far as this node has heard. */
+/** Handles events and returns the actions that follow from them. */
 export class FleetBrain {
-  private readonly parts: FleetParts;
-  /** Of what peers told with their questions; written with the next event. */
-  private readonly notes: FleetAction[] = [];
+  private readonly components: FleetParts;
+  /** Actions caused by peers' queries; returned with the next event. */
+  private readonly deferredActions: FleetAction[] = [];
 
   constructor(
     private readonly identity: NodeIdentity,
     readConfiguration: ReadConfiguration,
-    start: FleetStart = {isFirst: false},
+    options: FleetStart = {isFirst: false},
   ) {
-    this.parts = createFleetParts(identity, readConfiguration, start);
+    this.components = createFleetParts(identity, readConfiguration, options);
   }
 
-  /** All boxes that this node knows. */
+  /** All known boxes. */
   get directory(): BoxDirectory {
-    return this.parts.directory;
+    return this.components.directory;
   }
 
   /** The upstream of this box. */
   get own(): OwnUpstreamTracker {
-    return this.parts.own;
+    return this.components.own;
   }
 
-  /** This node's part in reading the store. */
+  /** This node's role in reading the store. */
   get duty(): StoreDuty {
-    return this.parts.duty;
+    return this.components.duty;
   }
 
-  /** Requests that end upstreams. */
+  /** Requests suspected of crashing upstreams. */
   get suspects(): SuspectRequests {
-    return this.parts.suspects;
+    return this.components.suspects;
   }
 
-  /** How often the store was restored, as far as this node knows. */
+  /** Tracks restores of the store, as far as this node knows. */
   get storeEra(): StoreEra {
-    return this.parts.storeAnswers.era;
+    return this.components.storeAnswers.era;
   }
 
-  /** Records that were none, found since the process began. */
+  /** Invalid records found since the process started. */
   get wrongRecordCount(): number {
-    return this.parts.boxes.wrongCount;
+    return this.components.boxes.wrongCount;
   }
 
   get configuration(): DeclaredConfiguration | undefined {
-    return this.parts.learning.inForce.current;
+    return this.components.learning.inForce.current;
   }
 
   get version(): number {
-    return this.parts.learning.inForce.version;
+    return this.components.learning.inForce.version;
   }
 
   handle(
@@ -80,10 +81,10 @@
     random: RandomSource,
     event: FleetEvent,
   ): readonly FleetAction[] {
-    const notes = this.notes.splice(0);
-    const actions = [...notes, ...this.decide(now, random, event)];
-    const findings = this.suspects.takeFindings(now);
-    return [...actions, ...findings, ...this.tellOfRuns(now)];
+    const deferred = this.deferredActions.splice(0);
+    const actions = [...deferred, ...this.decide(now, random, event)];
+    const quarantineActions = this.suspects.takeFindings(now);
+    return [...actions, ...quarantineActions, ...this.broadcastRunReports(now)];
   }
 
   private decide(
@@ -95,20 +96,20 @@
       case 'tick':
         return this.tick(now, random, event.followers ?? 0);
       case 'follower-came':
-        this.parts.followerNews.followerCame();
+        this.components.followerNews.followerCame();
         return [];
       case 'leaving':
         this.duty.leave();
         return [];
       case 'news-told':
-        return this.newsTold(now, random, event.news);
+        return this.updateReceived(now, random, event.news);
       case 'read-ended':
         return [
-          ...this.parts.storeResults.readEnded(now, random, event),
-          ...this.goOn(now, random),
+          ...this.components.storeResults.readEnded(now, random, event),
+          ...this.advance(now, random),
         ];
       case 'write-ended':
-        return this.parts.storeResults.writeEnded(now, event.result);
+        return this.components.storeResults.writeEnded(now, event.result);
       case 'runs-crashed':
         this.suspects.crashed(now, event.digests, this.own.upstream?.program);
         return [];
@@ -119,52 +120,56 @@
         this.suspects.lift(now, event.digest);
         return [];
       case 'unknown-key-shown':
-        return this.askForKeys(now);
+        return this.queryForKeys(now);
       case 'upstream-announced':
-        return this.parts.ownBox.announced(now, event.announcement);
+        return this.components.ownBox.announced(now, event.announcement);
       case 'peer-version-heard':
-        return this.parts.questions.versionHeard(
+        return this.components.questions.versionHeard(
           now,
           random,
           event.address,
           event.version,
         );
       case 'peer-replied':
-        this.parts.questions.ended(event.address, event.knowledge);
-        this.parts.learning.replied(event.address);
+        this.components.questions.ended(event.address, event.knowledge);
+        this.components.learning.replied(event.address);
         return [
           ...this.learnFromPeer(now, event.address, event.knowledge),
-          ...this.parts.learning.due(now, random),
+          ...this.components.learning.due(now, random),
         ];
     }
   }
 
-  /** Answers another node's question, and learns what it told. */
-  answer(now: number, question: PeerQuestion): PeerKnowledge {
-    if (question.own !== undefined) {
-      this.notes.push(
-        ...this.parts.boxes.fromPeer(now, 'peer', [question.own]),
+  /** Answers another node's query, and applies the record sent with it. */
+  answer(now: number, query: PeerQuestion): PeerKnowledge {
+    if (query.own !== undefined) {
+      this.deferredActions.push(
+        ...this.components.boxes.fromPeer(now, 'peer', [query.own]),
       );
     }
-    return this.parts.answers.to(question, this.configuration);
+    return this.components.answers.to(query, this.configuration);
   }
 
-  /** Whether a peer has not replied yet. */
+  /** Whether a reply from a peer is pending. */
   get isAskingPeer(): boolean {
-    return this.parts.peers.isAsking;
+    return this.components.peers.isAsking;
   }
 
-  /** Whether this node reads the store itself, and hears of each change at once. */
+  /**
+   * Whether this node reads the store itself and so sees each change at once.
+   */
   isCurrent(now: number): boolean {
     return this.duty.isServing(now);
   }
 
-  /** A reader may know a newer version, whose news is still on its way. */
-  private askForKeys(now: number): readonly FleetAction[] {
+  /**
+   * A reader may already know a newer version that has not reached this node.
+   */
+  private queryForKeys(now: number): readonly FleetAction[] {
     const address = this.duty.readers.freshestReader(now);
     return address === undefined || this.isCurrent(now)
       ? []
-      : this.parts.questions.ask(address, 'configuration');
+      : this.components.questions.ask(address, 'configuration');
   }
 
   private tick(
@@ -172,37 +177,43 @@
     random: RandomSource,
     followers: number,
   ): readonly FleetAction[] {
-    return [...this.goOn(now, random), ...this.tellFollowers(now, followers)];
+    return [
+      ...this.advance(now, random),
+      ...this.notifyFollowers(now, followers),
+    ];
   }
 
-  /** What is due now, whatever has happened. */
-  private goOn(now: number, random: RandomSource): readonly FleetAction[] {
-    this.parts.ownRecord.tick(now);
+  /** Performs whatever is due now, independent of the event. */
+  private advance(now: number, random: RandomSource): readonly FleetAction[] {
+    this.components.ownRecord.tick(now);
     return [
       ...this.duty.goOn(now),
-      ...this.parts.lostDuty.due(now, random),
-      ...this.parts.ownBox.write(now),
-      ...this.parts.boxes.forget(now),
-      ...this.parts.learning.due(now, random),
-      ...this.parts.questions.due(now, random),
+      ...this.components.lostDuty.due(now, random),
+      ...this.components.ownBox.write(now),
+      ...this.components.boxes.forget(now),
+      ...this.components.learning.due(now, random),
+      ...this.components.questions.due(now, random),
     ];
   }
 
-  /** Each second in which some boxes do not know costs upstreams: see RunNews. */
-  private tellOfRuns(now: number): readonly FleetAction[] {
+  /**
+   * Broadcast without delay: upstreams crash for as long as some boxes do not
+   * know. See RunReportBroadcast.
+   */
+  private broadcastRunReports(now: number): readonly FleetAction[] {
     const actions: FleetAction[] = [];
     if (this.suspects.takeHasMoreToTell()) {
       const {reports, lifts} = this.suspects;
-      this.parts.ownRecord.runsChanged(now, reports, lifts);
-      actions.push(...this.parts.ownBox.write(now));
+      this.components.ownRecord.runsChanged(now, reports, lifts);
+      actions.push(...this.components.ownBox.write(now));
     }
-    if (this.parts.runNews.hasUntold) {
-      actions.push(...this.parts.runNews.take(now));
+    if (this.components.runNews.hasUntold) {
+      actions.push(...this.components.runNews.take(now));
     }
     return actions;
   }
 
-  private tellFollowers(
+  private notifyFollowers(
     now: number,
     followers: number,
   ): readonly FleetAction[] {
@@ -212,45 +223,45 @@
       isReading: this.duty.isServing(now),
       storeAge: this.duty.storeAge(now),
     };
-    return this.parts.followerNews
+    return this.components.followerNews
       .due(now, followers, state)
-      .map((news) => ({kind: 'tell-followers', news}));
+      .map((update) => ({kind: 'tell-followers', news: update}));
   }
 
-  /** A node that this one follows told what it has read. */
-  private newsTold(
+  /** Handles an update from a node that this one follows. */
+  private updateReceived(
     now: number,
     random: RandomSource,
-    news: FleetNews,
+    update: FleetNews,
   ): readonly FleetAction[] {
-    switch (news.kind) {
+    switch (update.kind) {
       case 'boxes':
-        return this.parts.boxes.fromPeer(now, 'peer', news.boxes);
+        return this.components.boxes.fromPeer(now, 'peer', update.boxes);
       case 'records-lost':
-        return this.parts.lostDuty.told(now, random, news);
+        return this.components.lostDuty.told(now, random, update);
       case 'store-restored':
         return [
-          ...this.parts.storeAnswers.heard(now, news.era),
-          ...this.goOn(now, random),
+          ...this.components.storeAnswers.heard(now, update.era),
+          ...this.advance(now, random),
         ];
       case 'report':
-        return this.reported(now, random, news);
+        return this.reportReceived(now, random, update);
     }
   }
 
-  private reported(
+  private reportReceived(
     now: number,
     random: RandomSource,
     {address, report}: FleetNews & {readonly kind: 'report'},
   ): readonly FleetAction[] {
     this.duty.readers.heard(now, address, report);
     const {digest} = this.directory;
-    const asks = this.duty.readers.wantsBoxesOf(now, address, digest)
-      ? this.parts.questions.ask(address, 'with-boxes')
+    const queries = this.duty.readers.wantsBoxesOf(now, address, digest)
+      ? this.components.questions.ask(address, 'with-boxes')
       : [];
     return [
-      ...asks,
-      ...this.parts.questions.versionHeard(
+      ...queries,
+      ...this.components.questions.versionHeard(
         now,
         random,
         address,
@@ -262,16 +273,19 @@
   private learnFromPeer(
     now: number,
     address: string,
-    knowledge: PeerKnowledge | undefined,
+    reply: PeerKnowledge | undefined,
   ): readonly FleetAction[] {
-    if (knowledge === undefined) {
+    if (reply === undefined) {
       return [];
     }
-    const others = knowledge.boxes.filter(({box}) => box !== this.identity.box);
-    const notes = this.parts.boxes.fromPeer(now, address, others);
-    const {configuration} = knowledge;
+    const others = reply.boxes.filter(({box}) => box !== this.identity.box);
+    const actions = this.components.boxes.fromPeer(now, address, others);
+    const {configuration} = reply;
     return configuration === undefined
-      ? notes
-      : [...notes, ...this.parts.learning.fromPeer(address, configuration)];
+      ? actions
+      : [
+          ...actions,
+          ...this.components.learning.fromPeer(address, configuration),
+        ];
   }
 }
--- a/packages/fleet/src/fleetMessages.ts
+++ b/packages/fleet/src/fleetMessages.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** What the fleet's control is told, and what it decides. */
+/** Events and actions of the fleet state machine. */
 
 import type {Era} from '@lockpin/types';
 import type {BoxRecord} from './boxRecord.js';
@@ -19,75 +19,78 @@
 } from './recordStore.js';
 import type {StreamRead} from './streamFollower.js';
 
-/** A question to another node, asked when the store does not answer. */
+/** A query to another node, sent when the store does not answer. */
 export interface PeerQuestion {
-  /** The asker's version; 0 when it has none. */
+  /** Version of the querying node; 0 if it has none. */
   readonly version: number;
   /**
-   * Digest of the records of boxes that the asker has, when it wants those of the
-   * peer that tell more; undefined when it wants none.
+   * Digest of the querying node's box records, if it wants the peer's records
+   * when they differ; undefined if it wants none.
    */
   readonly boxesDigest: number | undefined;
-  /** The asker's own record, if it has one to tell. */
+  /** The querying node's own record, if it has one. */
   readonly own: BoxRecord | undefined;
 }
 
-/** What another node knows. */
+/** A node's reply to a query. */
 export interface PeerKnowledge {
-  /** Only when it is newer than the asker's. */
+  /** Only if newer than the querying node's. */
   readonly configuration: DeclaredConfiguration | undefined;
   readonly boxes: readonly BoxRecord[];
 }
 
-/** What a node tells those that follow it, unasked. */
+/** An update that a node pushes to its followers or to other nodes. */
 export type FleetNews =
   | {
       readonly kind: 'report';
-      /** Where the teller can be asked for what it tells of. */
+      /** Where the sender can be queried. */
       readonly address: string;
       readonly report: ReaderReport;
     }
-  /** Statements of boxes that the teller did not know before. */
+  /** Box records that were new to the sender. */
   | {readonly kind: 'boxes'; readonly boxes: readonly BoxRecord[]}
-  /** The store was restored to an earlier state: what was read of it is to be read anew. */
+  /** The store was restored to an earlier state and has to be read again. */
   | {readonly kind: 'store-restored'; readonly era: Era}
-  /** Boxes whose newest statements the store has not, since it was restored. */
+  /** Boxes whose newest records the store lost in a restore. */
   | {
       readonly kind: 'records-lost';
       readonly era: Era;
       readonly boxes: readonly string[];
     };
 
-/** What happens to the fleet's control. */
+/** An input of the state machine. */
 export type FleetEvent =
-  /** Time goes on; with how many nodes follow this one, none where it is not said. */
+  /**
+   * Sent periodically, with the number of nodes that follow this one; 0 if
+   * omitted.
+   */
   | {readonly kind: 'tick'; readonly followers?: number}
   | {readonly kind: 'follower-came'}
-  /** This node will end: others had better read the store. */
+  /** This node is about to stop; others should read the store. */
   | {readonly kind: 'leaving'}
-  /** A node that this one follows told something. */
+  /** An update arrived from another node. */
   | {readonly kind: 'news-told'; readonly news: FleetNews}
   | {
       readonly kind: 'read-ended';
       readonly stream: RecordStream;
-      /** As the action that began it has it. */
+      /** As in the action that started the read. */
       readonly read: number;
       readonly result: StoreResult<RecordPage>;
     }
   | {readonly kind: 'write-ended'; readonly result: StoreResult<undefined>}
-  /** The upstream of this box ended while it ran these requests. */
+  /** The upstream of this box crashed while it ran these requests. */
   | {readonly kind: 'runs-crashed'; readonly digests: readonly string[]}
-  /** A run of a request ended here, and the upstream lives. */
+  /** A run of a request ended here without crashing the upstream. */
   | {readonly kind: 'run-survived'; readonly digest: string}
   /** An operator lifts the quarantine of a request. */
   | {readonly kind: 'quarantine-lifted'; readonly digest: string}
-  /** A caller showed a key that no version in force here has. */
+  /** A caller presented a key that is unknown in the version in force. */
   | {readonly kind: 'unknown-key-shown'}
   | {
       readonly kind: 'upstream-announced';
       readonly announcement: UpstreamAnnouncement;
     }
-  /** A peer told the version that is in force there. */
+  /** A peer reported the version in force there. */
   | {
       readonly kind: 'peer-version-heard';
       readonly address: string;
@@ -96,43 +99,46 @@
   | {
       readonly kind: 'peer-replied';
       readonly address: string;
-      /** Undefined when the peer did not answer. */
+      /** Undefined if the peer did not reply. */
       readonly knowledge: PeerKnowledge | undefined;
     };
 
-/** What the fleet's control wants done. */
+/** An output of the state machine. */
 export type FleetAction =
   | StreamRead
   | {readonly kind: 'write'; readonly record: StoredRecord}
-  /** The record of a box that is gone leaves the store. */
+  /** Delete the record of a departed box from the store. */
   | {readonly kind: 'drop-record'; readonly key: string}
-  /** The record of a box that is gone is to be in the store again. */
+  /** Write the record of a departed box to the store again. */
   | {readonly kind: 'write-for'; readonly record: StoredRecord}
   | {
       readonly kind: 'ask-peer';
       readonly address: string;
       readonly question: PeerQuestion;
     }
-  /** These nodes are to be followed from now on, and no others. */
+  /** Follow exactly these nodes from now on. */
   | {readonly kind: 'follow-peers'; readonly peers: FollowedPeers}
   | {readonly kind: 'tell-followers'; readonly news: FleetNews}
-  /** The entries whose calls come here are to know this at once. */
+  /** Notify the entries that send calls to this node immediately. */
   | {readonly kind: 'tell-entries'; readonly news: FleetNews}
-  /** So are the nodes at these addresses. */
+  /** Notify the nodes at these addresses immediately. */
   | {
       readonly kind: 'tell-nodes';
       readonly addresses: readonly string[];
       readonly news: FleetNews;
     }
-  /** No upstream is to run this request. */
+  /** No upstream may run this request. */
   | {readonly kind: 'request-quarantined'; readonly digest: string}
-  /** A newer version is in force from here on. */
+  /** A newer version is now in force. */
   | {
       readonly kind: 'configuration-changed';
       readonly configuration: DeclaredConfiguration;
       readonly source: string;
     }
-  /** Another writer's, or one that names nothing to use; nothing follows from it. */
+  /**
+   * The announcement is from another writer or names no usable upstream, and
+   * has no effect.
+   */
   | {
       readonly kind: 'announcement-refused';
       readonly problem: AnnouncementProblem;
@@ -141,7 +147,7 @@
       readonly kind: 'upstream-changed';
       readonly upstream: OwnUpstream;
     }
-  /** For the log and the time line. */
+  /** An event for the log and the timeline. */
   | {
       readonly kind: 'note';
       readonly event: string;
--- a/packages/fleet/src/fleetNote.ts
+++ b/packages/fleet/src/fleetNote.ts
@@ -1,9 +1,9 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Notes for the log of a node. */
+/** Builds log events. */
 
 import type {FleetAction} from './fleetMessages.js';
 
-/** Says that something happened to a subject. */
+/** An action that logs an event of a subject. */
 export function note(
   event: string,
   subject: string,
--- a/packages/fleet/src/fleetParts.ts
+++ b/packages/fleet/src/fleetParts.ts
@@ -1,5 +1,8 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** What a node's knowledge of its fleet is made of, and how the parts hang together. */
+/**
+ * Creates and connects the components that make up a node's knowledge of its
+ * fleet.
+ */
 
 import {BoxDirectory} from './boxDirectory.js';
 import {BoxLearning} from './boxLearning.js';
@@ -22,17 +25,20 @@
 import {StoreResults} from './storeResults.js';
 import {SuspectRequests} from './suspectRequests.js';
 
-/** How a fleet is run that is not the same at every start. */
+/** Options that may differ from one start to the next. */
 export interface FleetStart {
-  /** The fleet starts for the first time: the store has no record of any box. */
+  /** The fleet starts for the first time, so the store has no box records. */
   readonly isFirst: boolean;
-  /** Of the configuration, in milliseconds; undefined for no bound of its own. */
+  /**
+   * Longest read of the configuration stream, in milliseconds; undefined for no
+   * limit.
+   */
   readonly longestRead?: number;
-  /** Those that boxes may name; any where none are given. */
+  /** Data centres that boxes may name; any if omitted. */
   readonly dataCentres?: readonly string[];
 }
 
-/** Each is made once and lives as long as the process. */
+/** Each is created once and lives as long as the process. */
 export interface FleetParts {
   readonly directory: BoxDirectory;
   readonly own: OwnUpstreamTracker;
@@ -52,94 +58,101 @@
   readonly ownBox: OwnBox;
 }
 
-/** Makes all parts of one node's knowledge. */
+/** Creates all components of one node. */
 export function createFleetParts(
   identity: NodeIdentity,
   read: ReadConfiguration,
-  start: FleetStart,
+  options: FleetStart,
 ): FleetParts {
   const directory = new BoxDirectory();
-  const {isFirst, longestRead} = start;
-  const duty = new StoreDuty(identity, directory, isFirst, longestRead);
+  const {isFirst: isFirstStart, longestRead: maximumReadMilliseconds} = options;
+  const readerRole = new StoreDuty(
+    identity,
+    directory,
+    isFirstStart,
+    maximumReadMilliseconds,
+  );
   const ownRecord = new OwnRecord(identity, (record) =>
     boxes.put(record.statedAt, record),
   );
-  const storeAnswers = new StoreAnswers(duty);
+  const eraCheck = new StoreAnswers(readerRole);
   const lostRecords = new LostRecords(directory);
   const suspects = new SuspectRequests((service, program) =>
     directory.runsProgram(service, program),
   );
-  const followerNews = new FollowerNews(identity.peerAddress);
-  const runNews = new RunNews(
+  const followerUpdates = new FollowerNews(identity.peerAddress);
+  const runReportBroadcast = new RunNews(
     identity,
-    duty.readers,
+    readerRole.readers,
     new RunRelay(identity, directory),
   );
   const boxes = new BoxLearning({
     identity,
-    dataCentres: start.dataCentres ?? [],
+    dataCentres: options.dataCentres ?? [],
     directory,
     ownRecord,
-    followerNews,
+    followerNews: followerUpdates,
     suspects,
-    runNews,
+    runNews: runReportBroadcast,
     lostRecords,
-    actsForOthers: () => duty.actsForOthers,
+    actsForOthers: () => readerRole.actsForOthers,
   });
   const peers = new PeerAsking(identity, directory);
-  const learning: ConfigurationLearning = new ConfigurationLearning({
-    read,
-    isFirstStart: isFirst,
-    directory,
-    duty,
-    peers,
-    ask: (address) => questions.ask(address, 'configuration'),
-  });
-  const {inForce} = learning;
+  const configurationHandler: ConfigurationLearning = new ConfigurationLearning(
+    {
+      read,
+      isFirstStart,
+      directory,
+      duty: readerRole,
+      peers,
+      ask: (address) => questions.ask(address, 'configuration'),
+    },
+  );
+  const {inForce} = configurationHandler;
   const questions: PeerQuestions = new PeerQuestions({
     inForce,
     directory,
-    duty,
+    duty: readerRole,
     ownRecord,
     peers,
   });
   const own = new OwnUpstreamTracker();
-  const ownBox = new OwnBox({
+  const announcementHandler = new OwnBox({
     identity,
     tracker: own,
     record: ownRecord,
     configuration: () => inForce.current,
-    mayWrite: () => isFirst || duty.hasReadBoxes,
+    mayWrite: () => isFirstStart || readerRole.hasReadBoxes,
   });
   return {
     directory,
     own,
-    duty,
+    duty: readerRole,
     suspects,
-    learning,
-    storeAnswers,
+    learning: configurationHandler,
+    storeAnswers: eraCheck,
     storeResults: new StoreResults({
-      answers: storeAnswers,
-      duty,
-      learning,
+      answers: eraCheck,
+      duty: readerRole,
+      learning: configurationHandler,
       boxes,
-      ownBox,
+      ownBox: announcementHandler,
     }),
     lostDuty: new LostRecordDuty({
       identity,
       directory,
-      duty,
+      duty: readerRole,
       ownRecord,
       lostRecords,
-      era: () => storeAnswers.era.current,
+      era: () => eraCheck.era.current,
     }),
     ownRecord,
     peers,
     answers: new PeerAnswers(directory),
     questions,
-    followerNews,
-    runNews,
+    followerNews: followerUpdates,
+    runNews: runReportBroadcast,
     boxes,
-    ownBox,
+    ownBox: announcementHandler,
   };
 }
--- a/packages/fleet/src/fleetRouting.ts
+++ b/packages/fleet/src/fleetRouting.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Where a call goes under the version in force. */
+/** Routes calls according to the version in force. */
 
 import type {ServiceView} from '@lockpin/configuration';
 import type {RandomSource, Resource} from '@lockpin/types';
@@ -12,18 +12,18 @@
 import {RouteTable} from './routeTable.js';
 import {WeightedSpread} from './weightedSpread.js';
 
-/** A call's route and service, both of one version. */
+/** The route and the service of a call, both of the same version. */
 export interface RoutedCall {
   readonly version: number;
   readonly route: Resource<'Route'>;
   readonly view: ServiceView;
-  /** Anyone may make it, without a key. */
+  /** Anyone may call it without a key. */
   readonly isPublic: boolean;
 }
 
-/** Lives as long as one version of the configuration is in force. */
+/** Exists for as long as one version of the configuration is in force. */
 export class FleetRouting {
-  /** Who may call under this version. */
+  /** The customers of this version. */
   readonly customers: CustomerTable;
   private readonly table: RouteTable;
   private readonly spreads = new Map<string, WeightedSpread>();
@@ -47,7 +47,7 @@
     before?.spreads.forEach((spread, name) => this.spreads.set(name, spread));
   }
 
-  /** The route and service of a call; undefined when no route covers it. */
+  /** The route and service of a call; undefined if no route matches. */
   find(host: string, path: string): RoutedCall | undefined {
     const found = this.table.find(host, path);
     if (found === undefined) {
@@ -61,7 +61,7 @@
     };
   }
 
-  /** The service as calls see it; the same object until something changes. */
+  /** The service as seen by calls; the same object until something changes. */
   view(service: string): ServiceView {
     const upstreams = this.directory.upstreamsOf(
       service,
@@ -90,7 +90,7 @@
   }
 }
 
-/** Connections of an upstream whose service does not say. */
+/** Connections per upstream of a service that declares no limit. */
 const DEFAULT_CONNECTIONS = 100;
 
 function isSameSplit(
--- a/packages/fleet/src/followerNews.ts
+++ b/packages/fleet/src/followerNews.ts
@@ -1,39 +1,42 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** What a node tells those that follow it, and when. */
+/** Schedules the updates that a node sends to its followers. */
 
 import type {BoxRecord} from './boxRecord.js';
 import type {FleetNews} from './fleetMessages.js';
 import type {ReaderReport} from './readerStanding.js';
 
-/** Time between two reports; two missing ones show that a reader is gone. */
-const REPORT_MILLISECONDS = 1000;
+/** Interval between reports; two missing ones show that a reader is gone. */
+const REPORT_INTERVAL_MILLISECONDS = 1000;
 
-/** In a large data centre reports are rarer, so that a reader sends 100 a second. */
-const REPORT_PER_FOLLOWER_MILLISECONDS = 10;
+/**
+ * In a large data centre reports are less frequent, so that a reader sends at
+ * most 100 a second.
+ */
+const REPORT_INTERVAL_PER_FOLLOWER_MILLISECONDS = 10;
 
-/** A report but for the time of the next one. */
+/** A report without the interval until the next one. */
 export type ReportedState = Omit<ReaderReport, 'nextWithin'>;
 
-/** Gathers what is new until the next tick. */
+/** Collects changes until the next tick. */
 export class FollowerNews {
   private changed: BoxRecord[] = [];
-  private reportAt = 0;
+  private nextReportAt = 0;
   private wasReading = false;
 
-  /** @param address Where this node can be asked for what it tells of. */
+  /** @param address Where this node can be queried. */
   constructor(private readonly address: string) {}
 
-  /** A box made a statement that this node did not know. */
+  /** A box has a record that was new to this node. */
   boxChanged(record: BoxRecord): void {
     this.changed.push(record);
   }
 
-  /** Someone follows from now on, and is to hear at once how this node stands. */
+  /** A new follower is to receive a report immediately. */
   followerCame(): void {
-    this.reportAt = 0;
+    this.nextReportAt = 0;
   }
 
-  /** What the followers are to be told now. */
+  /** The updates that are due for the followers. */
   due(
     now: number,
     followers: number,
@@ -44,9 +47,9 @@
     if (followers === 0) {
       return [];
     }
-    const told: readonly FleetNews[] =
+    const boxUpdates: readonly FleetNews[] =
       boxes.length === 0 ? [] : [{kind: 'boxes', boxes}];
-    return [...told, ...this.report(now, followers, state)];
+    return [...boxUpdates, ...this.report(now, followers, state)];
   }
 
   private report(
@@ -54,15 +57,15 @@
     followers: number,
     state: ReportedState,
   ): readonly FleetNews[] {
-    const hasTurned = state.isReading !== this.wasReading;
-    if (now < this.reportAt && !hasTurned) {
+    const hasReadingChanged = state.isReading !== this.wasReading;
+    if (now < this.nextReportAt && !hasReadingChanged) {
       return [];
     }
     const nextWithin = Math.max(
-      REPORT_MILLISECONDS,
-      followers * REPORT_PER_FOLLOWER_MILLISECONDS,
+      REPORT_INTERVAL_MILLISECONDS,
+      followers * REPORT_INTERVAL_PER_FOLLOWER_MILLISECONDS,
     );
-    this.reportAt = now + nextWithin;
+    this.nextReportAt = now + nextWithin;
     this.wasReading = state.isReading;
     const {address} = this;
     return [{kind: 'report', address, report: {...state, nextWithin}}];
--- a/packages/fleet/src/index.ts
+++ b/packages/fleet/src/index.ts
@@ -1,5 +1,7 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** What a node of a declared fleet knows, and how it spreads calls by it. */
+/**
+ * A node's knowledge of a declared fleet, and the routing of calls based on it.
+ */
 
 export * from './boxDirectory.js';
 export * from './boxRecord.js';
--- a/packages/fleet/src/keyTrust.ts
+++ b/packages/fleet/src/keyTrust.ts
@@ -1,53 +1,61 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
 /**
- * What a node makes of keys when it has heard nothing new for long. A key may have
- * been withdrawn since, or given out.
+ * Whether keys may be accepted by a node whose data may be stale: a key may
+ * have been withdrawn or issued in the meantime.
  */
 
-/** What operators chose for nodes that hear nothing. */
+/** Operators' choice for nodes with stale data. */
 export interface KeyPolicy {
-  /** A withdrawn key is to be refused everywhere after this time, in milliseconds. */
+  /**
+   * A withdrawn key must be refused everywhere after this time, in
+   * milliseconds.
+   */
   readonly withdrawalMilliseconds: number;
   /**
-   * True: a node that cannot know of withdrawals refuses calls with keys until it
-   * can. False: it serves them on, so that a lost store stops no caller.
+   * True: a node that may have missed withdrawals refuses calls with keys until
+   * its data is current. False: it keeps serving them, so that losing the store
+   * blocks no caller.
    */
   readonly refusesWhenOutdated: boolean;
 }
 
-/** For deployments that say nothing of it: a lost store stops no caller. */
+/** Used if a deployment sets no policy: losing the store blocks no caller. */
 export const DEFAULT_KEY_POLICY: KeyPolicy = {
   withdrawalMilliseconds: 5000,
   refusesWhenOutdated: false,
 };
 
 /**
- * Whether a node may serve calls with the keys it knows, by the time since the store
- * last answered this node or one that it hears; undefined when none ever did.
+ * Whether a node may accept the keys it knows, given the milliseconds since the
+ * store last answered this node or a reader it follows; undefined if it never
+ * did.
  */
 export function mayServeKnownKeys(
   {withdrawalMilliseconds, refusesWhenOutdated}: KeyPolicy,
-  newsAge: number | undefined,
+  staleness: number | undefined,
 ): boolean {
   return (
     !refusesWhenOutdated ||
-    (newsAge !== undefined && newsAge <= withdrawalMilliseconds)
+    (staleness !== undefined && staleness <= withdrawalMilliseconds)
   );
 }
 
 /**
- * Part of the time in which withdrawals are to be in force that a read of the store
- * may take where outdated nodes refuse: its end is what shows that nothing is new,
- * and readers tell of it once a second.
+ * Fraction of the withdrawal time that a read of the store may take if stale
+ * nodes refuse keys: only the end of a read proves that nothing changed, and
+ * readers report it once a second.
  */
-const READ_SHARE = 0.5;
+const READ_TIME_SHARE = 0.5;
 
-/** The longest read of the store that still shows in time that nothing is new. */
+/**
+ * The longest read of the store that still confirms in time that nothing
+ * changed.
+ */
 export function longestReadFor({
   withdrawalMilliseconds,
   refusesWhenOutdated,
 }: KeyPolicy): number {
   return refusesWhenOutdated
-    ? withdrawalMilliseconds * READ_SHARE
+    ? withdrawalMilliseconds * READ_TIME_SHARE
     : Number.POSITIVE_INFINITY;
 }
--- a/packages/fleet/src/lostRecordDuty.ts
+++ b/packages/fleet/src/lostRecordDuty.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** What a node does about records that a restored store has lost. */
+/** Recovers records that the store lost in a restore. */
 
 import type {Era, RandomSource} from '@lockpin/types';
 import type {BoxDirectory} from './boxDirectory.js';
@@ -12,80 +12,91 @@
 import type {OwnRecord} from './ownRecord.js';
 import type {StoreDuty} from './storeDuty.js';
 
-/** All boxes may have to write again at once; the store takes hundreds a second. */
+/**
+ * All boxes may have to write again at the same time, and the store takes
+ * hundreds of writes a second.
+ */
 const SPREAD_PER_BOX_MILLISECONDS = 10;
 
-/** What the duty goes by. */
+/** Dependencies of the recovery. */
 export interface LostRecordDutyContext {
   readonly identity: NodeIdentity;
   readonly directory: BoxDirectory;
   readonly duty: StoreDuty;
   readonly ownRecord: OwnRecord;
   readonly lostRecords: LostRecords;
-  /** Undefined before the store has said it. */
+  /** Undefined before the first answer of the store that carries an era. */
   readonly era: () => Era | undefined;
 }
 
-/** News of lost records, from a reader to its followers. */
-type LostNews = FleetNews & {readonly kind: 'records-lost'};
+/** Update about lost records, sent by a reader to its followers. */
+type LostRecordsUpdate = FleetNews & {readonly kind: 'records-lost'};
 
-/** Tells boxes that they have to write again; writes for those that are gone. */
+/**
+ * Notifies boxes that they must write again, and writes on behalf of departed
+ * ones.
+ */
 export class LostRecordDuty {
   constructor(private readonly context: LostRecordDutyContext) {}
 
   /** What a node that reads the store has to do now. */
   due(now: number, random: RandomSource): readonly FleetAction[] {
-    const {duty, lostRecords} = this.context;
+    const {duty: readerRole, lostRecords} = this.context;
     const era = this.context.era();
-    if (era === undefined || !duty.isServing(now)) {
+    if (era === undefined || !readerRole.isServing(now)) {
       return [];
     }
-    const boxes = lostRecords.toTell(now).filter((box) => this.isNear(box));
-    const forOthers = duty.actsForOthers ? lostRecords.toWrite(now) : [];
+    const boxes = lostRecords
+      .toTell(now)
+      .filter((box) => this.isInOwnDataCentre(box));
+    const rewrites = readerRole.actsForOthers ? lostRecords.toWrite(now) : [];
     return [
-      ...(boxes.length > 0 ? this.tell(now, random, era, boxes) : []),
-      ...forOthers.map(writeFor),
+      ...(boxes.length > 0 ? this.notify(now, random, era, boxes) : []),
+      ...rewrites.map(writeOnBehalf),
     ];
   }
 
-  /** A reader has told whose records are lost: this box's may be among them. */
+  /** A reader reported lost records, which may include this box's. */
   told(
     now: number,
     random: RandomSource,
-    {era, boxes}: LostNews,
+    {era, boxes}: LostRecordsUpdate,
   ): readonly FleetAction[] {
     const {identity, directory, ownRecord} = this.context;
     if (!boxes.includes(identity.box)) {
       return [];
     }
-    const pause = random() * directory.size * SPREAD_PER_BOX_MILLISECONDS;
-    return ownRecord.lost(now, era, pause)
+    const delay = random() * directory.size * SPREAD_PER_BOX_MILLISECONDS;
+    return ownRecord.lost(now, era, delay)
       ? [note('own-record-lost', identity.box, {era})]
       : [];
   }
 
-  private tell(
+  private notify(
     now: number,
     random: RandomSource,
     era: Era,
     boxes: readonly string[],
   ): readonly FleetAction[] {
-    const news: LostNews = {kind: 'records-lost', era, boxes};
+    const update: LostRecordsUpdate = {kind: 'records-lost', era, boxes};
     return [
       note('records-lost', '', {era, boxes: boxes.length}),
-      {kind: 'tell-followers', news},
-      ...this.told(now, random, news),
+      {kind: 'tell-followers', news: update},
+      ...this.told(now, random, update),
     ];
   }
 
-  /** Readers of each data centre see all that is lost, and tell their own. */
-  private isNear(box: string): boolean {
+  /**
+   * The readers of each data centre see all lost records, and notify only their
+   * own.
+   */
+  private isInOwnDataCentre(box: string): boolean {
     const {directory, identity} = this.context;
     return directory.get(box)?.dataCentre === identity.dataCentre;
   }
 }
 
-function writeFor(record: BoxRecord): FleetAction {
+function writeOnBehalf(record: BoxRecord): FleetAction {
   const value = writeBoxRecord(record);
   return {kind: 'write-for', record: {key: record.box, value}};
 }
--- a/packages/fleet/src/lostRecords.ts
+++ b/packages/fleet/src/lostRecords.ts
@@ -1,53 +1,63 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
 /**
- * Records of boxes that the store had and has no more, or only as they were: it was
- * restored to an earlier state. Whoever reads all records sees what is missing. The boxes
- * write their own again. What a promise hangs on is written for boxes that do not.
+ * Tracks box records that the store lost, or holds only in an older version,
+ * because it was restored to an earlier state. Any node that reads a full
+ * snapshot sees what is missing. Boxes write their own records again; records
+ * that quarantines rely on are written on behalf of boxes that do not.
  */
 
 import type {BoxDirectory} from './boxDirectory.js';
 import {RECORD_LIFE_MILLISECONDS, tellsOfRuns} from './boxRecord.js';
 import type {BoxRecord} from './boxRecord.js';
 
-/** What was written while all records were read is read on by then. */
-const CERTAIN_MILLISECONDS = 1000;
+/**
+ * Writes made during the snapshot read have been read from the stream by then.
+ */
+const SNAPSHOT_SETTLE_MILLISECONDS = 1000;
 
-/** What a box told past the store is read there by then. */
-const LEARNT_MILLISECONDS = 6000;
+/**
+ * A record that a box sent past the store has been read from the store by then.
+ */
+const PEER_REPORT_SETTLE_MILLISECONDS = 6000;
 
-/** A box that lives has written its record again by then. */
-const DEAD_MILLISECONDS = 10_000;
+/** A live box has written its record again by then. */
+const REWRITE_TIMEOUT_MILLISECONDS = 10_000;
 
 interface LostRecord {
   readonly statedAt: number;
-  isTold: boolean;
-  /** When it is to be told of, or written for the box. */
+  isNotified: boolean;
+  /** When to notify the box, or to write on its behalf. */
   dueAt: number;
 }
 
-/** Kept by each node that reads the store; one of them acts for dead boxes. */
+/**
+ * Kept by each node that reads the store; one of them acts for departed boxes.
+ */
 export class LostRecords {
   private readonly lost = new Map<string, LostRecord>();
-  /** When the records that the store has were stated; undefined before all were read. */
+  /**
+   * statedAt of the stored records, by box; undefined before the first
+   * snapshot.
+   */
   private stored: Map<string, number> | undefined;
 
   constructor(private readonly directory: BoxDirectory) {}
 
-  /** All records that the store has, as they can be read. */
+  /** Compares a full snapshot of the store with the known records. */
   readAll(now: number, records: readonly BoxRecord[]): void {
     this.stored = new Map(records.map(({box, statedAt}) => [box, statedAt]));
     this.lost.clear();
     for (const record of this.directory.all()) {
-      this.compare(now + CERTAIN_MILLISECONDS, record);
+      this.compare(now + SNAPSHOT_SETTLE_MILLISECONDS, record);
     }
   }
 
-  /** A box stated this, as far as a peer has told. */
+  /** A peer reported a record of a box. */
   learnt(now: number, record: BoxRecord): void {
-    this.compare(now + LEARNT_MILLISECONDS, record);
+    this.compare(now + PEER_REPORT_SETTLE_MILLISECONDS, record);
   }
 
-  /** The store has this record. */
+  /** The store holds this record. */
   found({box, statedAt}: BoxRecord): void {
     this.stored?.set(box, statedAt);
     const lost = this.lost.get(box);
@@ -56,25 +66,25 @@
     }
   }
 
-  /** Boxes that are to be told now that their records are lost; each once. */
+  /** Boxes to notify now that their records are lost; each is returned once. */
   toTell(now: number): readonly string[] {
     const due = [...this.lost].filter(
-      ([, lost]) => !lost.isTold && now >= lost.dueAt,
+      ([, lost]) => !lost.isNotified && now >= lost.dueAt,
     );
     for (const [, lost] of due) {
-      lost.isTold = true;
-      lost.dueAt = now + DEAD_MILLISECONDS;
+      lost.isNotified = true;
+      lost.dueAt = now + REWRITE_TIMEOUT_MILLISECONDS;
     }
     return due.map(([box]) => box);
   }
 
-  /** Records that are to be written now in place of boxes that did not. */
+  /** Records to write now on behalf of boxes that did not. */
   toWrite(now: number): readonly BoxRecord[] {
     const due = [...this.lost].filter(
-      ([, lost]) => lost.isTold && now >= lost.dueAt,
+      ([, lost]) => lost.isNotified && now >= lost.dueAt,
     );
     return due.flatMap(([box, lost]) => {
-      lost.dueAt = now + DEAD_MILLISECONDS;
+      lost.dueAt = now + REWRITE_TIMEOUT_MILLISECONDS;
       const record = this.directory.get(box);
       if (record !== undefined && tellsOfRuns(record)) {
         return [record];
@@ -87,12 +97,15 @@
   private compare(dueAt: number, {box, statedAt}: BoxRecord): void {
     const {stored} = this;
     if (stored !== undefined && statedAt > (stored.get(box) ?? 0)) {
-      this.lost.set(box, {statedAt, isTold: false, dueAt});
+      this.lost.set(box, {statedAt, isNotified: false, dueAt});
     }
   }
 }
 
-/** Whether a record is of a box that was forgotten; the store may bring it back. */
+/**
+ * Whether a record belongs to an expired box; a restored store may return such
+ * records.
+ */
 export function isForgotten(now: number, {statedAt}: BoxRecord): boolean {
   return now - statedAt > RECORD_LIFE_MILLISECONDS;
 }
--- a/packages/fleet/src/ownBox.ts
+++ b/packages/fleet/src/ownBox.ts
@@ -1,5 +1,7 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** What a node says of its own box, and when the store is told. */
+/**
+ * Handles announcements of this box's upstream and writes the box's own record.
+ */
 
 import {checkAnnouncement} from './checkAnnouncement.js';
 import type {DeclaredConfiguration} from './declaredConfiguration.js';
@@ -10,21 +12,23 @@
 import type {OwnUpstreamTracker, UpstreamAnnouncement} from './ownUpstream.js';
 import type {StoreResult} from './recordStore.js';
 
-/** What the statements of a box go by. */
+/** Dependencies of the handler. */
 export interface OwnBoxContext {
   readonly identity: NodeIdentity;
   readonly tracker: OwnUpstreamTracker;
   readonly record: OwnRecord;
   readonly configuration: () => DeclaredConfiguration | undefined;
-  /** What the store has of this box is known, or it can have nothing. */
+  /** True once the stored record of this box is known, or if none can exist. */
   readonly mayWrite: () => boolean;
 }
 
-/** Takes in announcements, and writes what follows from them. */
+/** Validates announcements, and writes the resulting changes to the store. */
 export class OwnBox {
   constructor(private readonly context: OwnBoxContext) {}
 
-  /** The upstream here, or another writer, says something. */
+  /**
+   * An announcement arrived, from this box's upstream or from another writer.
+   */
   announced(
     now: number,
     announcement: UpstreamAnnouncement,
@@ -47,7 +51,9 @@
     return [{kind: 'upstream-changed', upstream}, ...this.write(now)];
   }
 
-  /** What the store has of this box is to be known before it is written. */
+  /**
+   * Writes the own record if due, but only after reading what the store holds.
+   */
   write(now: number): readonly FleetAction[] {
     const next = this.context.mayWrite()
       ? this.context.record.nextWrite(now)
--- a/packages/fleet/src/ownRecord.ts
+++ b/packages/fleet/src/ownRecord.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** The record that this box keeps of itself in the store. */
+/** The record of this box in the store. */
 
 import {
   RECORD_RENEWAL_MILLISECONDS,
@@ -13,55 +13,62 @@
 import type {OwnUpstream} from './ownUpstream.js';
 import type {StoreResult, StoredRecord} from './recordStore.js';
 
-/** Time before a failed write of the own record is tried again. */
-const WRITE_PAUSE_MILLISECONDS = 400;
+/** Delay before a failed write of the own record is retried. */
+const WRITE_RETRY_MILLISECONDS = 400;
 
-/** Both readers of a data centre tell of the same statement within this time. */
-const SAME_NEWS_MILLISECONDS = 5000;
+/** Both readers of a data centre report the same record within this time. */
+const DUPLICATE_REPORT_MILLISECONDS = 5000;
 
-/** Upstreams announce themselves every second or two; three may be lost. */
-const UPSTREAM_PATIENCE_MILLISECONDS = 6000;
+/**
+ * Upstreams announce themselves every second or two; three announcements may be
+ * lost.
+ */
+const UPSTREAM_TIMEOUT_MILLISECONDS = 6000;
 
-/** Decides what this box states of itself, and when that is written. */
+/** Decides what the own record contains and when it is written. */
 export class OwnRecord {
-  /** As it should be; undefined before the upstream spoke. */
+  /** The record as it should be; undefined before the first announcement. */
   private desired: BoxRecord | undefined;
-  /** As the store is known to have it. */
+  /** The record as the store is known to hold it. */
   private stored: BoxRecord | undefined;
-  /** Of the answer that said so. */
-  private storedIn: Era = 0;
-  /** What is being written now. */
+  /** Era of the store's answer that `stored` is taken from. */
+  private storedEra: Era = 0;
+  /** The record that is being written. */
   private writing: BoxRecord | undefined;
-  /** Another statement of this box that a peer had, and when it told so. */
-  private toldBefore = {statedAt: 0, at: Number.NEGATIVE_INFINITY};
-  private writeAfter = 0;
-  /** Of an earlier process of this box, as far as peers told. */
+  /** The last differing record of this box that a peer reported, and when. */
+  private lastPeerReport = {statedAt: 0, at: Number.NEGATIVE_INFINITY};
+  private nextWriteAt = 0;
+  /** Of an earlier process of this box, as reported by peers. */
   private lastStatedAt = 0;
-  private hasFailed = false;
+  private lastWriteFailed = false;
   private startedAt: number | undefined;
   private runs: readonly RunReport[] = [];
   private lifts: readonly QuarantineLift[] = [];
 
   constructor(
     private readonly identity: NodeIdentity,
-    /** Told of each statement, before it is written. */
-    private readonly onStated: (record: BoxRecord) => void,
+    /** Called with each new version of the record, before it is written. */
+    private readonly onUpdated: (record: BoxRecord) => void,
   ) {}
 
-  /** What this box states of itself; undefined before the upstream spoke. */
+  /**
+   * The newest version of the record; undefined before the first announcement.
+   */
   get statement(): BoxRecord | undefined {
     return this.desired;
   }
 
-  /** The store did not take what this box states: peers are to hear it meanwhile. */
+  /**
+   * Whether the store did not take the record; it is sent to peers meanwhile.
+   */
   get isHeldUp(): boolean {
-    return this.hasFailed;
+    return this.lastWriteFailed;
   }
 
-  /** The upstream beside this node said something new. */
+  /** The upstream of this box changed. */
   upstreamChanged(now: number, upstream: OwnUpstream): void {
     const {service, slots, takesWork, coldUntil, program} = upstream;
-    this.state(Math.max(now, (this.stored?.statedAt ?? 0) + 1), {
+    this.publish(Math.max(now, (this.stored?.statedAt ?? 0) + 1), {
       ...this.identity,
       service,
       slots,
@@ -72,7 +79,7 @@
     });
   }
 
-  /** There is more to tell of runs of suspect requests, or of lifted quarantines. */
+  /** The run reports or the lifted quarantines of this box changed. */
   runsChanged(
     now: number,
     runs: readonly RunReport[],
@@ -81,71 +88,72 @@
     this.runs = runs;
     this.lifts = lifts;
     if (this.desired !== undefined) {
-      this.state(now, this.desired);
+      this.publish(now, this.desired);
     }
   }
 
-  /** Something else stands in its place in the store. */
+  /** The store holds something else in place of the record. */
   overwritten(): void {
     this.stored = undefined;
   }
 
   /**
-   * Of this box the store has nothing any more, or an older statement, since it was
-   * restored. Others may say so late: what was written since the restore is there.
-   * @param pause Time until it is written again, in milliseconds.
-   * @returns Whether it is to be written again.
+   * The store has lost the record of this box, or holds an older version, since
+   * it was restored. Such a report may arrive late: if the record was written
+   * after the restore, it is not lost.
+   * @param delay Time until the record is written again, in milliseconds.
+   * @returns Whether the record is to be written again.
    */
-  lost(now: number, era: Era, pause: number): boolean {
-    if (this.stored === undefined || this.storedIn >= era) {
+  lost(now: number, era: Era, delay: number): boolean {
+    if (this.stored === undefined || this.storedEra >= era) {
       return false;
     }
     this.stored = undefined;
-    this.writeAfter = Math.max(this.writeAfter, now + pause);
+    this.nextWriteAt = Math.max(this.nextWriteAt, now + delay);
     return true;
   }
 
   /**
-   * A peer has this record of the own box. The same statement proves nothing: readers tell
-   * what they heard from this box as well as what the store has.
+   * A peer reported a record of this box. A matching record does not prove that
+   * the store holds it: readers also report what this box sent them.
    */
   toldOf(now: number, record: BoxRecord): void {
-    const {desired, toldBefore} = this;
+    const {desired, lastPeerReport} = this;
     if (desired === undefined) {
       this.lastStatedAt = Math.max(this.lastStatedAt, record.statedAt);
       return;
     }
-    const isKnown =
-      record.statedAt === toldBefore.statedAt &&
-      now - toldBefore.at < SAME_NEWS_MILLISECONDS;
-    if (record.statedAt !== desired.statedAt && !isKnown) {
-      this.toldBefore = {statedAt: record.statedAt, at: now};
-      this.found(now, record, this.storedIn);
+    const isDuplicate =
+      record.statedAt === lastPeerReport.statedAt &&
+      now - lastPeerReport.at < DUPLICATE_REPORT_MILLISECONDS;
+    if (record.statedAt !== desired.statedAt && !isDuplicate) {
+      this.lastPeerReport = {statedAt: record.statedAt, at: now};
+      this.found(now, record, this.storedEra);
     }
   }
 
-  /** The store has this record of the own box. */
+  /** The store holds this record of this box. */
   found(now: number, record: BoxRecord, era: Era): void {
     this.stored = record;
-    this.storedIn = era;
+    this.storedEra = era;
     const {desired} = this;
-    // A write of an earlier process of this box, or one done late.
+    // Written by an earlier process of this box, or applied late.
     if (desired !== undefined && record.statedAt > desired.statedAt) {
-      this.state(Math.max(now, record.statedAt + 1), desired);
+      this.publish(Math.max(now, record.statedAt + 1), desired);
     }
   }
 
-  /** States anew what time alone makes necessary. */
+  /** Updates the record where the passing of time requires it. */
   tick(now: number): void {
     this.startedAt ??= now;
-    this.noteMissingUpstream(now, this.startedAt);
+    this.withdrawMissingUpstream(now, this.startedAt);
     this.renew(now);
   }
 
-  /** What is to be written now, if anything; the caller writes it. */
+  /** The write that is due now, if any; the caller performs it. */
   nextWrite(now: number): StoredRecord | undefined {
     const {desired, stored} = this;
-    const isDue = this.writing === undefined && now >= this.writeAfter;
+    const isDue = this.writing === undefined && now >= this.nextWriteAt;
     if (desired === undefined || !isDue || isStored(desired, stored)) {
       return undefined;
     }
@@ -153,21 +161,21 @@
     return {key: desired.box, value: writeBoxRecord(desired)};
   }
 
-  /** A write has ended; what the store has shows when records are read on. */
+  /** A write has ended; if it failed, later reads show what the store holds. */
   writeEnded(now: number, result: StoreResult<undefined>): void {
     const {writing} = this;
     this.writing = undefined;
-    this.hasFailed = !result.ok;
+    this.lastWriteFailed = !result.ok;
     if (result.ok) {
       this.stored = writing;
-      this.storedIn = result.era;
+      this.storedEra = result.era;
     } else {
-      this.writeAfter = now + WRITE_PAUSE_MILLISECONDS;
+      this.nextWriteAt = now + WRITE_RETRY_MILLISECONDS;
     }
   }
 
-  /** Makes a statement, later than any before. */
-  private state(at: number, record: BoxRecord): void {
+  /** Makes a new version of the record, newer than any before. */
+  private publish(at: number, record: BoxRecord): void {
     const before = this.desired?.statedAt ?? this.lastStatedAt;
     const statedAt = Math.max(at, before + 1);
     const {runs, lifts} = this;
@@ -177,21 +185,21 @@
       runs: runs.length > 0 ? runs : undefined,
       lifts: lifts.length > 0 ? lifts : undefined,
     };
-    this.onStated(this.desired);
+    this.onUpdated(this.desired);
   }
 
   /**
-   * The store says of this box that its upstream takes work, from before a
-   * restart, but no upstream has announced itself since.
+   * The stored record from before a restart says that the upstream takes work,
+   * but no upstream has announced itself since.
    */
-  private noteMissingUpstream(now: number, startedAt: number): void {
+  private withdrawMissingUpstream(now: number, startedAt: number): void {
     const {stored, desired} = this;
     if (
       desired === undefined &&
       stored?.takesWork === true &&
-      now - startedAt > UPSTREAM_PATIENCE_MILLISECONDS
+      now - startedAt > UPSTREAM_TIMEOUT_MILLISECONDS
     ) {
-      this.state(Math.max(now, stored.statedAt + 1), {
+      this.publish(Math.max(now, stored.statedAt + 1), {
         ...stored,
         ...this.identity,
         takesWork: false,
@@ -205,12 +213,15 @@
       desired !== undefined &&
       now - desired.statedAt > RECORD_RENEWAL_MILLISECONDS
     ) {
-      this.state(now, desired);
+      this.publish(now, desired);
     }
   }
 }
 
-/** A restart that changes nothing needs no write, and no reads by others. */
+/**
+ * A restart that changes nothing needs no write, and so causes no reads by
+ * others.
+ */
 function isStored(desired: BoxRecord, stored: BoxRecord | undefined): boolean {
   return (
     stored !== undefined &&
--- a/packages/fleet/src/ownUpstream.ts
+++ b/packages/fleet/src/ownUpstream.ts
@@ -1,26 +1,29 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** The upstream beside a node, as it announces itself. */
+/** Tracks the upstream of this box by its announcements. */
 
 import type {UpstreamIncarnation} from '@lockpin/types';
 import {incarnationText, isSameIncarnation} from '@lockpin/utils';
 
-/** What an upstream says of itself. */
+/** An announcement by an upstream. */
 export interface UpstreamAnnouncement {
-  /** The process that speaks; its start is 0 where it does not tell one. */
+  /** The announcing process; its start time is 0 if it does not send one. */
   readonly incarnation: UpstreamIncarnation;
   readonly service: string;
   readonly address: string;
   readonly slots: number;
   readonly state: 'ready' | 'draining' | 'gone';
-  /** It answers slowly for this much longer, in milliseconds. */
+  /** The upstream answers slowly for this much longer, in milliseconds. */
   readonly coldMilliseconds: number;
-  /** Rises with each announcement of an incarnation; a late one is lower. */
+  /**
+   * Rises with each announcement of an incarnation, so a late one has a lower
+   * number.
+   */
   readonly sequence: number;
-  /** Version of its program; undefined where it does not tell one. */
+  /** Program version; undefined if it does not send one. */
   readonly program?: string | undefined;
 }
 
-/** What is known of the upstream now. */
+/** The current state of the upstream. */
 export interface OwnUpstream {
   readonly incarnation: UpstreamIncarnation;
   readonly service: string;
@@ -32,16 +35,16 @@
   readonly program: string | undefined;
 }
 
-/** Why an announcement is not believed. */
+/** Why an announcement is rejected. */
 export interface AnnouncementProblem {
   readonly field: 'startedAt' | 'service' | 'address';
   readonly problem: string;
 }
 
-/** What an announcement led to. */
+/** The effect of an announcement. */
 export type AnnouncementResult =
   | {readonly kind: 'changed'}
-  /** It said nothing new, or came late. */
+  /** It contained nothing new or arrived late. */
   | {readonly kind: 'unchanged'}
   | {readonly kind: 'refused'; readonly problem: AnnouncementProblem};
 
@@ -49,94 +52,107 @@
 
 const UNCHANGED: AnnouncementResult = {kind: 'unchanged'};
 
-/** Incarnations and ids remembered, so that a late announcement revives none. */
-const MOST_REMEMBERED = 64;
+/**
+ * Number of incarnations and ids remembered, so that a late announcement does
+ * not revive an ended one.
+ */
+const MAXIMUM_REMEMBERED = 64;
 
 /**
- * A word that an upstream leaves may come this late. Within this time after a new
- * process took up an id, such a word without a start may be its predecessor's; it is
- * refused, and who meant it says so again.
+ * Maximum delay of a leave announcement. For this long after a new process
+ * reused an id, a leave without a start time may be from its predecessor; it is
+ * refused, and a sender that is still leaving repeats it.
  */
-const LATE_MILLISECONDS = 5000;
+const LATE_LEAVE_MILLISECONDS = 5000;
 
 /**
- * Follows the announcements. An incarnation that said it drains or leaves never takes
- * work again: the node has acknowledged that, and others rely on it. The start decides
- * before the sequence, for a new process counts anew.
+ * Follows the announcements. An incarnation that announced that it drains or
+ * leaves never takes work again: the node has acknowledged this, and others
+ * rely on it. The start time is compared before the sequence number, which
+ * restarts with each process.
  */
 export class OwnUpstreamTracker {
   private current: OwnUpstream | undefined;
-  /** When a process took up the id of an earlier one. */
-  private succeededAt = Number.NEGATIVE_INFINITY;
+  /** When a process last reused the id of an earlier one. */
+  private idReusedAt = Number.NEGATIVE_INFINITY;
   private readonly ended = new Set<string>();
-  /** The newest start that each id told. */
-  private readonly starts = new Map<string, number>();
+  /** The newest start time announced for each id. */
+  private readonly newestStarts = new Map<string, number>();
 
   get upstream(): OwnUpstream | undefined {
     return this.current;
   }
 
-  /** Takes in an announcement. */
+  /** Applies an announcement. */
   announced(
     now: number,
     announcement: UpstreamAnnouncement,
   ): AnnouncementResult {
     const isLeaving = announcement.state === 'gone';
-    if (this.lacksStart(announcement) && !(isLeaving && this.isClear(now))) {
-      const problem = 'is missing, though others tell it';
+    if (
+      this.lacksStart(announcement) &&
+      !(isLeaving && this.isUnambiguous(now))
+    ) {
+      const problem = 'is missing, but earlier announcements set it';
       return {kind: 'refused', problem: {field: 'startedAt', problem}};
     }
-    const believed = this.withKnownStart(announcement);
-    if (this.isOfEarlierStart(believed)) {
+    const resolved = this.withKnownStart(announcement);
+    if (this.isOfEarlierStart(resolved)) {
       return UNCHANGED;
     }
-    this.rememberStart(now, believed.incarnation);
-    return believed.state === 'ready'
-      ? this.isReady(now, believed)
-      : this.leaves(believed);
+    this.rememberStart(now, resolved.incarnation);
+    return resolved.state === 'ready'
+      ? this.handleReady(now, resolved)
+      : this.handleLeave(resolved);
   }
 
-  /** A start is told by all processes of a deployment, or by none. */
+  /** Start times are sent by all processes of a deployment or by none. */
   private lacksStart({incarnation}: UpstreamAnnouncement): boolean {
-    return incarnation.startedAt === 0 && this.starts.size > 0;
+    return incarnation.startedAt === 0 && this.newestStarts.size > 0;
   }
 
-  /** Whether a word without a start can only be the upstream's own. */
-  private isClear(now: number): boolean {
-    return now - this.succeededAt > LATE_MILLISECONDS;
+  /**
+   * Whether a leave without a start time can only be from the current upstream.
+   */
+  private isUnambiguous(now: number): boolean {
+    return now - this.idReusedAt > LATE_LEAVE_MILLISECONDS;
   }
 
-  /** Who leaves need not tell a start: then the newest process of its id is meant. */
+  /**
+   * A leave may omit the start time; it then refers to the newest process of
+   * its id.
+   */
   private withKnownStart(
     announcement: UpstreamAnnouncement,
   ): UpstreamAnnouncement {
     const {id, startedAt} = announcement.incarnation;
-    const known = startedAt === 0 ? (this.starts.get(id) ?? 0) : startedAt;
+    const known =
+      startedAt === 0 ? (this.newestStarts.get(id) ?? 0) : startedAt;
     return {...announcement, incarnation: {id, startedAt: known}};
   }
 
   private isOfEarlierStart({incarnation}: UpstreamAnnouncement): boolean {
     const {id, startedAt} = incarnation;
-    return startedAt < (this.starts.get(id) ?? 0);
+    return startedAt < (this.newestStarts.get(id) ?? 0);
   }
 
   private rememberStart(
     now: number,
     {id, startedAt}: UpstreamIncarnation,
   ): void {
-    const known = this.starts.get(id);
+    const known = this.newestStarts.get(id);
     if (startedAt === 0 || startedAt === known) {
       return;
     }
     if (known !== undefined) {
-      this.succeededAt = now;
+      this.idReusedAt = now;
     }
-    this.starts.delete(id);
-    this.starts.set(id, startedAt);
-    dropFirstBeyond(this.starts);
+    this.newestStarts.delete(id);
+    this.newestStarts.set(id, startedAt);
+    evictOldest(this.newestStarts);
   }
 
-  private isReady(
+  private handleReady(
     now: number,
     announcement: UpstreamAnnouncement,
   ): AnnouncementResult {
@@ -154,7 +170,7 @@
       before !== undefined &&
       !isSameIncarnation(before.incarnation, incarnation)
     ) {
-      this.end(before.incarnation);
+      this.markEnded(before.incarnation);
     }
     this.current = {
       incarnation,
@@ -171,16 +187,16 @@
       : UNCHANGED;
   }
 
-  private leaves({
+  private handleLeave({
     incarnation,
     sequence,
   }: UpstreamAnnouncement): AnnouncementResult {
-    this.end(incarnation);
+    this.markEnded(incarnation);
     const {current} = this;
     if (
       current === undefined ||
       !current.takesWork ||
-      !isOrSucceeds(incarnation, current.incarnation)
+      !isSameOrSuccessor(incarnation, current.incarnation)
     ) {
       return UNCHANGED;
     }
@@ -200,28 +216,30 @@
     );
   }
 
-  /** Another id whose process started before the current one did. */
+  /** A process with another id that started before the current one. */
   private isOfPredecessor({startedAt}: UpstreamIncarnation): boolean {
     const current = this.current?.incarnation.startedAt ?? 0;
     return startedAt > 0 && startedAt < current;
   }
 
-  private end(incarnation: UpstreamIncarnation): void {
+  private markEnded(incarnation: UpstreamIncarnation): void {
     this.ended.add(incarnationText(incarnation));
-    dropFirstBeyond(this.ended);
+    evictOldest(this.ended);
   }
 }
 
-/** A process that took up an id ends its predecessor, even if it leaves at once. */
-function isOrSucceeds(
+/**
+ * A process that reuses an id ends its predecessor, even if it leaves at once.
+ */
+function isSameOrSuccessor(
   {id, startedAt}: UpstreamIncarnation,
   known: UpstreamIncarnation,
 ): boolean {
   return id === known.id && startedAt >= known.startedAt;
 }
 
-function dropFirstBeyond(remembered: Set<string> | Map<string, unknown>): void {
-  if (remembered.size > MOST_REMEMBERED) {
+function evictOldest(remembered: Set<string> | Map<string, unknown>): void {
+  if (remembered.size > MAXIMUM_REMEMBERED) {
     const [oldest] = remembered.keys();
     remembered.delete(oldest as string);
   }
--- a/packages/fleet/src/peerAnswers.ts
+++ b/packages/fleet/src/peerAnswers.ts
@@ -1,41 +1,41 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** What a node answers to the questions of its peers. */
+/** Replies to the queries of peers. */
 
 import type {BoxDirectory} from './boxDirectory.js';
 import type {DeclaredConfiguration} from './declaredConfiguration.js';
 import type {PeerKnowledge, PeerQuestion} from './fleetMessages.js';
 
-/** An answer, and what it was made of. */
-interface MadeAnswer {
+/** The last reply and what it was made from. */
+interface CachedReply {
   readonly configuration: DeclaredConfiguration | undefined;
   readonly boxesDigest: number | undefined;
-  readonly knowledge: PeerKnowledge;
+  readonly reply: PeerKnowledge;
 }
 
 /**
- * A new version is asked for by a whole data centre at once. All get the same
- * object, so that whoever sends it has to encode it only once.
+ * A whole data centre queries for a new version at the same time. All get the
+ * same reply object, so that the sender encodes it only once.
  */
 export class PeerAnswers {
-  private last: MadeAnswer | undefined;
+  private last: CachedReply | undefined;
 
   constructor(private readonly directory: BoxDirectory) {}
 
-  /** Tells only what the asker does not know. */
+  /** Includes only what the querying node does not have. */
   to(
     {version, boxesDigest}: PeerQuestion,
     inForce: DeclaredConfiguration | undefined,
   ): PeerKnowledge {
     const {digest} = this.directory;
     const isNewer = inForce !== undefined && inForce.version > version;
-    const tellsBoxes = boxesDigest !== undefined && boxesDigest !== digest;
-    return this.answer(
+    const sendsBoxes = boxesDigest !== undefined && boxesDigest !== digest;
+    return this.cachedReply(
       isNewer ? inForce : undefined,
-      tellsBoxes ? digest : undefined,
+      sendsBoxes ? digest : undefined,
     );
   }
 
-  private answer(
+  private cachedReply(
     configuration: DeclaredConfiguration | undefined,
     boxesDigest: number | undefined,
   ): PeerKnowledge {
@@ -45,11 +45,11 @@
       last.configuration === configuration &&
       last.boxesDigest === boxesDigest
     ) {
-      return last.knowledge;
+      return last.reply;
     }
     const boxes = boxesDigest === undefined ? [] : this.directory.all();
-    const knowledge = {configuration, boxes};
-    this.last = {configuration, boxesDigest, knowledge};
-    return knowledge;
+    const reply = {configuration, boxes};
+    this.last = {configuration, boxesDigest, reply};
+    return reply;
   }
 }
--- a/packages/fleet/src/peerAsking.ts
+++ b/packages/fleet/src/peerAsking.ts
@@ -1,5 +1,8 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Which peer is asked for a newer configuration, and when. */
+/**
+ * Selects the peers to query for a newer configuration, and the time of each
+ * query.
+ */
 
 import type {RandomSource} from '@lockpin/types';
 import {STABLE_HASH_RANGE, stableHash} from '@lockpin/utils';
@@ -8,127 +11,143 @@
 import {firstReaders} from './recordReaders.js';
 import {PEERS_TO_ASK} from './startCheck.js';
 
-/** Time between questions to peers while the store does not answer. */
-const QUESTION_MILLISECONDS = 500;
+/** Interval between queries to peers while the store does not answer. */
+const QUERY_INTERVAL_MILLISECONDS = 500;
 
 /**
- * Share of the questions that stay nearby while the store does not answer. What is
- * known in one data centre has to reach the others, but not with every question.
+ * Fraction of the queries that stay in the own data centre while the store does
+ * not answer. Data known in one data centre has to reach the others, but not
+ * with every query.
  */
-const NEAR_SHARE = 0.8;
+const LOCAL_QUERY_SHARE = 0.8;
 
 /**
- * A version that peers tell of is asked for after this, unless the store has
- * brought it by then: its answers stay within the data centre, and a large
- * configuration that every node fetches from a peer is mostly paid for twice.
+ * Time that the store is given to deliver a reported version before a peer is
+ * queried for it: the store's answers stay within the data centre, while
+ * traffic of a large configuration that every node fetches from a peer mostly
+ * costs twice.
  */
-const STORE_FIRST_MILLISECONDS = 400;
+const STORE_GRACE_MILLISECONDS = 400;
 
 /**
- * Nodes that only know of a peer in another data centre wait up to this much longer,
- * each for its own time: the first to ask passes the version on to its neighbours.
+ * Nodes that only know of a peer in another data centre wait up to this much
+ * longer, each by its own offset: the first one to query passes the version on
+ * to its neighbours.
  */
-const FAR_SPREAD_MILLISECONDS = 500;
+const REMOTE_SPREAD_MILLISECONDS = 500;
 
-/** A peer that has not brought the newer version by then is not waited for alone. */
-const ANSWER_MILLISECONDS = 400;
+/**
+ * After this time without the newer version, another peer is queried as well.
+ */
+const REPLY_TIMEOUT_MILLISECONDS = 400;
 
-/** Questions to one peer that may be in vain before it has to tell again. */
-const MOST_IN_VAIN = 3;
+/**
+ * Failed queries to one peer after which it has to report its version again.
+ */
+const MAXIMUM_FAILED_QUERIES = 3;
 
 /** A newer version that a peer has in force. */
-interface ToldVersion {
+interface ReportedVersion {
   readonly version: number;
-  /** Questions for it that were lost, or answered with an earlier version. */
-  readonly inVain: number;
+  /** Queries for it that were lost or answered with an earlier version. */
+  readonly failedQueries: number;
 }
 
-/** Chooses addresses to ask; each is asked once until it has replied. */
+/** Selects addresses to query; each has at most one query pending. */
 export class PeerAsking {
-  private readonly asked = new Set<string>();
+  private readonly pending = new Set<string>();
   /**
-   * By the address of the peer. Kept until it is in force here: peers tell of a version
-   * once, and a question may be lost or be answered with an earlier version.
+   * By the address of the peer. Kept until the version is in force here: peers
+   * report a version once, and a query may be lost or be answered with an
+   * earlier version.
    */
-  private readonly told = new Map<string, ToldVersion>();
-  /** When a peer first told of a version that is not in force here. */
-  private firstToldAt = 0;
-  /** No further peer is asked for what was told of before. */
-  private nextAt = 0;
-  private storePatience = 0;
-  private askAfter = 0;
+  private readonly reported = new Map<string, ReportedVersion>();
+  /** When a peer first reported a version that is not in force here. */
+  private firstReportedAt = 0;
+  /** No further peer is queried for a reported version before this time. */
+  private nextQueryAt = 0;
+  private storeGrace = 0;
+  private nextPeriodicQueryAt = 0;
 
   constructor(
     private readonly identity: NodeIdentity,
     private readonly directory: BoxDirectory,
   ) {}
 
-  /** A peer has a newer version; a node that reads the store lets it come from there. */
+  /**
+   * A peer has a newer version; a node that reads the store gives the store
+   * time to deliver it.
+   */
   heardOfNewer(
     now: number,
     address: string,
     version: number,
     readsStore: boolean,
   ): void {
-    this.storePatience = readsStore ? STORE_FIRST_MILLISECONDS : 0;
-    if (this.told.size === 0) {
-      this.firstToldAt = now;
-      this.nextAt = now;
+    this.storeGrace = readsStore ? STORE_GRACE_MILLISECONDS : 0;
+    if (this.reported.size === 0) {
+      this.firstReportedAt = now;
+      this.nextQueryAt = now;
     }
-    this.told.set(address, {version, inVain: 0});
+    this.reported.set(address, {version, failedQueries: 0});
   }
 
-  /** A newer version came into force, however it came. */
+  /** A newer version came into force, from whichever source. */
   versionCame(inForce: number): void {
-    for (const [address, {version}] of this.told) {
+    for (const [address, {version}] of this.reported) {
       if (version <= inForce) {
-        this.told.delete(address);
+        this.reported.delete(address);
       }
     }
   }
 
-  /** The peer to ask since the store did not bring what was heard of. */
+  /** The peer to query because the store did not deliver a reported version. */
   overdue(now: number): string | undefined {
-    if (this.told.size === 0 || now < this.nextAt) {
+    if (this.reported.size === 0 || now < this.nextQueryAt) {
       return undefined;
     }
-    const address = [...this.told.keys()]
-      .filter((peer) => !this.asked.has(peer))
-      .filter((peer) => now - this.firstToldAt >= this.patience(peer))
-      .sort((a, b) => Number(this.isNear(b)) - Number(this.isNear(a)))[0];
+    const address = [...this.reported.keys()]
+      .filter((peer) => !this.pending.has(peer))
+      .filter((peer) => now - this.firstReportedAt >= this.delayFor(peer))
+      .sort(
+        (a, b) =>
+          Number(this.isInOwnDataCentre(b)) - Number(this.isInOwnDataCentre(a)),
+      )[0];
     if (address !== undefined) {
-      this.nextAt = now + ANSWER_MILLISECONDS;
+      this.nextQueryAt = now + REPLY_TIMEOUT_MILLISECONDS;
     }
     return address;
   }
 
-  /** The peer to ask while the store does not answer, if one is due now. */
+  /** The peer to query while the store does not answer, if a query is due. */
   withoutStore(now: number, random: RandomSource): string | undefined {
     const {dataCentre} = this.identity;
-    return this.dueNow(now, () => {
+    return this.ifDue(now, () => {
       const others = this.others(this.directory.all());
       const near = others.filter((record) => record.dataCentre === dataCentre);
-      const pool = near.length > 0 && random() < NEAR_SHARE ? near : others;
-      return oneOf(pool, random);
+      const pool =
+        near.length > 0 && random() < LOCAL_QUERY_SHARE ? near : others;
+      return pickRandom(pool, random);
     });
   }
 
   /**
-   * The peer that is to hear what this box states while the store does not take it,
-   * if one is due now: a reader of any data centre, since readers tell all others.
+   * The peer to send the own record to while the store does not take it, if one
+   * is due: a reader of any data centre, since readers notify all others.
    */
   instead(now: number, random: RandomSource): string | undefined {
-    return this.dueNow(now, () => {
+    return this.ifDue(now, () => {
       const readers = this.directory.dataCentres.flatMap((dataCentre) =>
         firstReaders(this.directory, dataCentre),
       );
-      return oneOf(this.others(readers), random);
+      return pickRandom(this.others(readers), random);
     });
   }
 
   /**
-   * Peers that a node which has just started asks: those that read the store for its data
-   * centre know most, and one elsewhere knows where these have just started as well.
+   * Peers that a newly started node queries: the readers of its data centre
+   * know the most, and one node elsewhere still has the data if they have just
+   * started as well.
    */
   atStart(random: RandomSource): readonly string[] {
     const {dataCentre} = this.identity;
@@ -137,19 +156,19 @@
       ({box}) => !near.some((reader) => reader.box === box),
     );
     const far = others.filter((record) => record.dataCentre !== dataCentre);
-    const further = oneOf(far.length > 0 ? far : others, random);
-    const all = further === undefined ? near : [...near, further];
+    const additional = pickRandom(far.length > 0 ? far : others, random);
+    const all = additional === undefined ? near : [...near, additional];
     return all.slice(0, PEERS_TO_ASK).map(({peerAddress}) => peerAddress);
   }
 
-  private dueNow(
+  private ifDue(
     now: number,
     choose: () => NodeIdentity | undefined,
   ): string | undefined {
-    if (now < this.askAfter) {
+    if (now < this.nextPeriodicQueryAt) {
       return undefined;
     }
-    this.askAfter = now + QUESTION_MILLISECONDS;
+    this.nextPeriodicQueryAt = now + QUERY_INTERVAL_MILLISECONDS;
     return choose()?.peerAddress;
   }
 
@@ -157,51 +176,54 @@
     return records.filter(({box}) => box !== this.identity.box);
   }
 
-  /** Whether some peer has a question that it did not reply to yet. */
+  /** Whether a reply from any peer is pending. */
   get isAsking(): boolean {
-    return this.asked.size > 0;
+    return this.pending.size > 0;
   }
 
-  /** Whether a question may be sent there now; notes that it is. */
+  /** Marks a query to this address as pending; false if one already is. */
   begin(address: string): boolean {
-    if (this.asked.has(address)) {
+    if (this.pending.has(address)) {
       return false;
     }
-    this.asked.add(address);
+    this.pending.add(address);
     return true;
   }
 
-  /** A peer replied with a version, or 0 for none, or did not answer in time. */
-  ended(address: string, broughtVersion: number): void {
-    this.asked.delete(address);
-    const told = this.told.get(address);
-    if (told === undefined || broughtVersion >= told.version) {
+  /** A query ended: with the version of the reply, or 0 if there was none. */
+  ended(address: string, replyVersion: number): void {
+    this.pending.delete(address);
+    const reported = this.reported.get(address);
+    if (reported === undefined || replyVersion >= reported.version) {
       return;
     }
-    const inVain = told.inVain + 1;
-    if (inVain < MOST_IN_VAIN) {
-      this.told.set(address, {...told, inVain});
+    const failedQueries = reported.failedQueries + 1;
+    if (failedQueries < MAXIMUM_FAILED_QUERIES) {
+      this.reported.set(address, {...reported, failedQueries});
     } else {
-      this.told.delete(address);
+      this.reported.delete(address);
     }
   }
 
-  /** How long the store, and after it the neighbours, are given. */
-  private patience(address: string): number {
+  /**
+   * The time given to the store, and then to neighbours, before this peer is
+   * queried.
+   */
+  private delayFor(address: string): number {
     const {box} = this.identity;
-    const ownPart = this.isNear(address)
+    const ownShare = this.isInOwnDataCentre(address)
       ? 0
       : stableHash(box) / STABLE_HASH_RANGE;
-    return this.storePatience + ownPart * FAR_SPREAD_MILLISECONDS;
+    return this.storeGrace + ownShare * REMOTE_SPREAD_MILLISECONDS;
   }
 
-  private isNear(address: string): boolean {
+  private isInOwnDataCentre(address: string): boolean {
     const {dataCentre} = this.identity;
     return this.directory.dataCentreAt(address) === dataCentre;
   }
 }
 
-function oneOf(
+function pickRandom(
   records: readonly NodeIdentity[],
   random: RandomSource,
 ): NodeIdentity | undefined {
--- a/packages/fleet/src/peerQuestions.ts
+++ b/packages/fleet/src/peerQuestions.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** When a node asks its peers, whom, and for what. */
+/** Decides when a node queries its peers, which ones, and for what. */
 
 import type {RandomSource} from '@lockpin/types';
 import type {BoxDirectory} from './boxDirectory.js';
@@ -14,10 +14,10 @@
 import type {StoreDuty} from './storeDuty.js';
 import {VersionWatch} from './versionWatch.js';
 
-/** What a question is about. */
-type Wanted = 'configuration' | 'with-boxes';
+/** What a query asks for. */
+type QueryContent = 'configuration' | 'with-boxes';
 
-/** What the questions of a node depend on. */
+/** Dependencies of the queries. */
 export interface PeerQuestionsContext {
   readonly inForce: ConfigurationInForce;
   readonly directory: BoxDirectory;
@@ -26,84 +26,86 @@
   readonly peers: PeerAsking;
 }
 
-/** Asks for what neither the store nor a reader has brought. */
+/** Queries peers for what neither the store nor a reader has delivered. */
 export class PeerQuestions {
-  private readonly watch = new VersionWatch();
+  private readonly monitor = new VersionWatch();
 
   constructor(private readonly context: PeerQuestionsContext) {}
 
-  /** The questions that are due now. */
+  /** The queries that are due now. */
   due(now: number, random: RandomSource): readonly FleetAction[] {
-    const overdue = this.context.peers.overdue(now);
-    const asked = [overdue, this.peerInsteadOfStore(now, random)].flatMap(
+    const fallback = this.context.peers.overdue(now);
+    const queries = [fallback, this.peerInsteadOfStore(now, random)].flatMap(
       (address) =>
-        address === undefined ? [] : this.ask(address, this.wanted(now)),
+        address === undefined ? [] : this.ask(address, this.queryContent(now)),
     );
-    return [...asked, ...this.watch.due(now, this.context.inForce.version)];
+    return [...queries, ...this.monitor.due(now, this.context.inForce.version)];
   }
 
-  /** A peer told the version that is in force there. */
+  /** A peer reported the version in force there. */
   versionHeard(
     now: number,
     random: RandomSource,
     address: string,
     version: number,
   ): readonly FleetAction[] {
-    const {duty, inForce, peers} = this.context;
-    this.watch.heard(now, address, version, inForce.version);
-    if (!duty.hasReadBoxes) {
-      // All peers that call a node that has just started tell it their versions.
+    const {duty: readerRole, inForce, peers} = this.context;
+    this.monitor.heard(now, address, version, inForce.version);
+    if (!readerRole.hasReadBoxes) {
+      // Every peer that calls a newly started node reports its version.
       return peers.isAsking ? [] : this.ask(address, 'with-boxes');
     }
     if (version <= inForce.version) {
       return [];
     }
-    duty.newerVersionHeard(now);
-    peers.heardOfNewer(now, address, version, duty.isServing(now));
-    return duty.lacksNews(now)
-      ? this.ask(address, this.wanted(now))
+    readerRole.newerVersionHeard(now);
+    peers.heardOfNewer(now, address, version, readerRole.isServing(now));
+    return readerRole.lacksNews(now)
+      ? this.ask(address, this.queryContent(now))
       : this.due(now, random);
   }
 
-  /** Asks one peer, unless it has not replied yet. */
-  ask(address: string, wanted: Wanted): readonly FleetAction[] {
+  /** Queries one peer, unless a reply from it is pending. */
+  ask(address: string, content: QueryContent): readonly FleetAction[] {
     const {directory, inForce, ownRecord, peers} = this.context;
     if (!peers.begin(address)) {
       return [];
     }
-    this.watch.asked();
-    const question: PeerQuestion = {
+    this.monitor.asked();
+    const query: PeerQuestion = {
       version: inForce.version,
-      boxesDigest: wanted === 'with-boxes' ? directory.digest : undefined,
+      boxesDigest: content === 'with-boxes' ? directory.digest : undefined,
       own: ownRecord.statement,
     };
-    return [{kind: 'ask-peer', address, question}];
+    return [{kind: 'ask-peer', address, question: query}];
   }
 
-  /** A peer replied, or did not answer in time. */
-  ended(address: string, knowledge: PeerKnowledge | undefined): void {
-    const broughtVersion = knowledge?.configuration?.version ?? 0;
-    this.context.peers.ended(address, broughtVersion);
-    if (knowledge === undefined) {
-      this.watch.unanswered();
+  /** A peer replied or timed out. */
+  ended(address: string, reply: PeerKnowledge | undefined): void {
+    const replyVersion = reply?.configuration?.version ?? 0;
+    this.context.peers.ended(address, replyVersion);
+    if (reply === undefined) {
+      this.monitor.unanswered();
     }
   }
 
-  /** Peers stand in for a store that does not answer here, or takes no record. */
+  /**
+   * Peers replace a store that does not answer this node or takes no record.
+   */
   private peerInsteadOfStore(
     now: number,
     random: RandomSource,
   ): string | undefined {
-    const {duty, ownRecord, peers} = this.context;
-    if (duty.lacksNews(now)) {
+    const {duty: readerRole, ownRecord, peers} = this.context;
+    if (readerRole.lacksNews(now)) {
       return peers.withoutStore(now, random);
     }
     return ownRecord.isHeldUp ? peers.instead(now, random) : undefined;
   }
 
-  private wanted(now: number): Wanted {
-    const {duty} = this.context;
-    const lacksBoxes = !duty.hasReadBoxes || duty.lacksNews(now);
+  private queryContent(now: number): QueryContent {
+    const {duty: readerRole} = this.context;
+    const lacksBoxes = !readerRole.hasReadBoxes || readerRole.lacksNews(now);
     return lacksBoxes ? 'with-boxes' : 'configuration';
   }
 }
--- a/packages/fleet/src/readerStanding.ts
+++ b/packages/fleet/src/readerStanding.ts
@@ -1,95 +1,108 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** What a node knows of one of those that it follows. */
+/** State of one followed node. */
 
-/** What a node tells those that follow it, again and again. */
+/** What a node regularly reports to its followers. */
 export interface ReaderReport {
   /** The version of the configuration in force there. */
   readonly version: number;
-  /** The same on two nodes that know the same statements of boxes. */
+  /** Equal on two nodes that hold the same box records. */
   readonly boxesDigest: number;
-  /** It reads the store for others, and the store answers. */
+  /** The node reads the store for others, and the store answers. */
   readonly isReading: boolean;
-  /** Milliseconds since the store last answered it. */
+  /** Milliseconds since the store last answered the node. */
   readonly storeAge: number;
-  /** Milliseconds in which the next report is to come. */
+  /** Milliseconds within which the next report is due. */
   readonly nextWithin: number;
 }
 
-/** A report may come this many times later than it was due. */
+/** A report may take this many times its announced interval. */
 const SILENCE_FACTOR = 2.2;
 
-/** Time in which a node that is followed from now on has to tell something. */
-const FIRST_REPORT_MILLISECONDS = 1200;
+/** Time within which a newly followed node has to send a report. */
+const FIRST_REPORT_TIMEOUT_MILLISECONDS = 1200;
 
-/** A silent node is followed again after this; doubled each further time. */
-const FIRST_SILENCE_MILLISECONDS = 4000;
+/** Delay before a silent node is followed again; doubled each time. */
+const FIRST_RETRY_MILLISECONDS = 4000;
 
-/** The longest such time: what is gone for good keeps its record for minutes. */
-const LONGEST_SILENCE_MILLISECONDS = 30_000;
+/**
+ * Upper bound of that delay: the record of a departed node remains for minutes.
+ */
+const MAXIMUM_RETRY_MILLISECONDS = 30_000;
 
-/** What has just changed is on its way to the followers for no longer. */
-const ON_ITS_WAY_MILLISECONDS = 700;
+/** Time within which a change reaches the followers. */
+const PROPAGATION_MILLISECONDS = 700;
 
-/** Kept for each node that was followed. */
+/** One instance for each node that was followed. */
 export class ReaderStanding {
   private report: ReaderReport | undefined;
-  private heardAt = 0;
+  private reportedAt = 0;
   private followedSince = 0;
   private silences = 0;
   private silentUntil = 0;
   private differsSince: number | undefined;
-  /** The digest that its boxes had when they were last asked for. */
-  private askedFor: number | undefined;
+  /** Digest of the node's boxes when they were last requested. */
+  private requestedDigest: number | undefined;
 
-  /** It is followed from now on. */
+  /** The node is followed from now on. */
   followedFrom(now: number): void {
     this.followedSince = now;
   }
 
   heard(now: number, report: ReaderReport): void {
     this.report = report;
-    this.heardAt = now;
+    this.reportedAt = now;
     this.silences = 0;
     this.silentUntil = 0;
   }
 
-  /** Notices that it has fallen silent. */
+  /** Detects that the node has fallen silent. */
   tick(now: number): void {
-    if (now - Math.max(this.heardAt, this.followedSince) <= this.patience) {
+    if (
+      now - Math.max(this.reportedAt, this.followedSince) <=
+      this.reportTimeout
+    ) {
       return;
     }
-    const pause = Math.min(
-      LONGEST_SILENCE_MILLISECONDS,
-      FIRST_SILENCE_MILLISECONDS * 2 ** this.silences,
+    const backoff = Math.min(
+      MAXIMUM_RETRY_MILLISECONDS,
+      FIRST_RETRY_MILLISECONDS * 2 ** this.silences,
     );
     this.silences += 1;
-    this.silentUntil = now + pause;
+    this.silentUntil = now + backoff;
     this.report = undefined;
   }
 
-  /** Whether it is passed over for now. */
+  /** Whether the node is skipped for now. */
   isSilent(now: number): boolean {
     return now < this.silentUntil;
   }
 
-  /** It said that it does not read, or that the store does not answer it. */
+  /**
+   * The node reported that it does not read, or that the store does not answer.
+   */
   get isTurnedAway(): boolean {
     return this.report?.isReading === false;
   }
 
   isReading(now: number): boolean {
-    const isFresh = now - this.heardAt <= this.patience;
+    const isFresh = now - this.reportedAt <= this.reportTimeout;
     return isFresh && this.report?.isReading === true;
   }
 
-  /** Milliseconds since the store answered it; undefined while it does not read. */
+  /**
+   * Milliseconds since the store answered the node; undefined if it does not
+   * read.
+   */
   newsAge(now: number): number | undefined {
     return this.report?.isReading === true
-      ? this.report.storeAge + now - this.heardAt
+      ? this.report.storeAge + now - this.reportedAt
       : undefined;
   }
 
-  /** True once for boxes of its that differ for longer than news is on its way. */
+  /**
+   * True once per digest that differs for longer than changes take to
+   * propagate.
+   */
   wantsBoxes(now: number, ownDigest: number): boolean {
     const digest = this.report?.boxesDigest ?? ownDigest;
     if (digest === ownDigest) {
@@ -97,17 +110,17 @@
       return false;
     }
     this.differsSince ??= now;
-    const isOnItsWay = now - this.differsSince < ON_ITS_WAY_MILLISECONDS;
-    if (isOnItsWay || this.askedFor === digest) {
+    const mayBePropagating = now - this.differsSince < PROPAGATION_MILLISECONDS;
+    if (mayBePropagating || this.requestedDigest === digest) {
       return false;
     }
-    this.askedFor = digest;
+    this.requestedDigest = digest;
     return true;
   }
 
-  private get patience(): number {
+  private get reportTimeout(): number {
     return this.report === undefined
-      ? FIRST_REPORT_MILLISECONDS
+      ? FIRST_REPORT_TIMEOUT_MILLISECONDS
       : this.report.nextWithin * SILENCE_FACTOR;
   }
 }
--- a/packages/fleet/src/readingTurn.ts
+++ b/packages/fleet/src/readingTurn.ts
@@ -1,55 +1,63 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
 /**
- * When the long polls of a fleet end. A store that falls silent leaves those hanging that
- * are under way, and whoever hangs hears nothing for the rest of the wait. So the nodes
- * that read take turns: their waits end one after the other, at equal distances, and soon
- * after a silence one of them reads anew and tells the others.
+ * Staggers the long polls of a fleet. When the store stops answering, pending
+ * polls hang, and their nodes learn of nothing for the rest of the wait. The
+ * readers therefore end their polls at equal intervals, so that soon after an
+ * outage begins one of them polls again and notifies the others.
  */
 
 import type {RecordStream} from './recordStore.js';
 
-/** A node's place among those that read the store. */
+/** A node's offset among the nodes that read the store. */
 export interface ReadingTurn {
-  /** Nodes that read for the fleet. */
+  /** Number of nodes that read for the fleet. */
   readonly readers: number;
-  /** From 0 to 1: where in each round its reads end. */
+  /** From 0 to 1: the point in each round at which the node's polls end. */
   readonly phase: number;
 }
 
-/** Time between the ends of two reads in the fleet; each read is paid for. */
-const BETWEEN_READS_MILLISECONDS: Readonly<Record<RecordStream, number>> = {
+/**
+ * Interval between the ends of two polls in the fleet; each poll has a cost.
+ */
+const POLL_SPACING_MILLISECONDS: Readonly<Record<RecordStream, number>> = {
   configuration: 750,
   boxes: 1500,
 };
 
-/** The least time of a round, in a small fleet. */
-const SHORTEST_ROUND_MILLISECONDS = 2000;
+/** Minimum duration of a round, in a small fleet. */
+const MINIMUM_ROUND_MILLISECONDS = 2000;
 
-/** The store lets a read wait no longer than 30 s; a wait takes up to 1.5 rounds. */
-const LONGEST_ROUND_MILLISECONDS = 19_000;
+/**
+ * The store limits the wait of a read to 30 s, and a wait takes up to 1.5
+ * rounds.
+ */
+const MAXIMUM_ROUND_MILLISECONDS = 19_000;
 
-/** A wait takes half a round at least, also one that begins shortly before its turn. */
-const LEAST_SHARE = 0.5;
+/**
+ * Minimum wait as a fraction of a round, also for a poll that starts shortly
+ * before its end is due.
+ */
+const MINIMUM_ROUND_SHARE = 0.5;
 
-/** The most of a round that a wait takes. */
-const MOST_SHARE = 1 + LEAST_SHARE;
+/** Maximum wait as a fraction of a round. */
+const MAXIMUM_ROUND_SHARE = 1 + MINIMUM_ROUND_SHARE;
 
-/** How long a read that begins now waits for news; in milliseconds. */
+/** How long a poll that starts now waits for records, in milliseconds. */
 export function waitForTurn(
   now: number,
   stream: RecordStream,
   {readers, phase}: ReadingTurn,
-  longestWait: number,
+  maximumWait: number,
 ): number {
   const round = Math.min(
-    LONGEST_ROUND_MILLISECONDS,
-    longestWait / MOST_SHARE,
+    MAXIMUM_ROUND_MILLISECONDS,
+    maximumWait / MAXIMUM_ROUND_SHARE,
     Math.max(
-      SHORTEST_ROUND_MILLISECONDS,
-      readers * BETWEEN_READS_MILLISECONDS[stream],
+      MINIMUM_ROUND_MILLISECONDS,
+      readers * POLL_SPACING_MILLISECONDS[stream],
     ),
   );
-  const earliest = now + round * LEAST_SHARE;
+  const earliest = now + round * MINIMUM_ROUND_SHARE;
   const rounds = Math.ceil(earliest / round - phase);
   return Math.round((rounds + phase) * round - now);
 }
--- a/packages/fleet/src/recordReaders.ts
+++ b/packages/fleet/src/recordReaders.ts
@@ -1,8 +1,9 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
 /**
- * Who reads the store for whom. In each data centre the nodes of the lowest rank
- * read; the others follow them. Two nodes that disagree about the ranks make for a
- * reader more, or for one that is followed in vain until the next one is tried.
+ * Selects the readers of the store. In each data centre the nodes of the lowest
+ * rank read, and the others follow them. If two nodes disagree about the ranks,
+ * there is one reader more, or a node follows one that does not read until it
+ * tries the next one.
  */
 
 import {STABLE_HASH_RANGE, stableHash} from '@lockpin/utils';
@@ -13,28 +14,29 @@
 import type {ReaderReport} from './readerStanding.js';
 
 /**
- * Nodes of each data centre that read the store. With two, one may stop without a
- * word; both are missed for no longer than it takes to notice their silence.
+ * Readers in each data centre. With two, one may stop without notice; if both
+ * do, they are missed only until their silence is detected.
  */
 export const READERS_PER_DATA_CENTRE = 2;
 
 /**
- * Nodes of a data centre that are tried as readers at the most while the store
- * turns them away. Where a third of all nodes cannot reach it, hardly a data centre has
- * so many such in a row; where nobody can, the others need not press it too.
+ * Maximum number of nodes of a data centre that are tried as readers while the
+ * store rejects them. If a third of all nodes cannot reach the store, hardly
+ * any data centre has this many such nodes in a row; if no node can, the others
+ * should not add load.
  */
-const MOST_TRIED = 6;
+const MAXIMUM_CANDIDATES = 6;
 
-/** A node that has heard of no reader for this long reads by itself. */
-const PATIENCE_MILLISECONDS = 1500;
+/** A node that has had no active reader for this long reads by itself. */
+const READER_TIMEOUT_MILLISECONDS = 1500;
 
 /**
- * The peer in another data centre is another one after this, so that one which has
- * gone silent is missed for no longer.
+ * The followed peer in another data centre is replaced after this time, which
+ * bounds how long a silent one goes unnoticed.
  */
-const FAR_PEER_MILLISECONDS = 30_000;
+const REMOTE_PEER_ROTATION_MILLISECONDS = 30_000;
 
-/** The nodes of a data centre that read the store while all is well. */
+/** The nodes of a data centre that read the store in normal operation. */
 export function firstReaders(
   directory: BoxDirectory,
   dataCentre: string,
@@ -42,13 +44,17 @@
   return directory.rankedIn(dataCentre).slice(0, READERS_PER_DATA_CENTRE);
 }
 
-/** Decides whom this node follows, and whether it has to read by itself. */
+/**
+ * Decides which peers this node follows, and whether it must read by itself.
+ */
 export class RecordReaders {
-  private readonly standings = new Map<string, ReaderStanding>();
+  private readonly statuses = new Map<string, ReaderStanding>();
   private chosen: readonly NodeIdentity[] = [];
   private isAmongReaders = false;
-  private lastHeardReader: number | undefined;
-  /** From 0 to 1, so that nodes change their peers elsewhere at different times. */
+  private lastActiveReaderAt: number | undefined;
+  /**
+   * From 0 to 1, so that nodes rotate their remote peers at different times.
+   */
   private readonly phase: number;
 
   constructor(
@@ -58,46 +64,51 @@
     this.phase = stableHash(identity.box) / STABLE_HASH_RANGE;
   }
 
-  /** Chooses anew; to be called again and again. */
+  /** Updates the selection; to be called periodically. */
   tick(now: number): void {
     this.choose(now);
     for (const {peerAddress} of this.chosen) {
-      this.standing(peerAddress).tick(now);
+      this.status(peerAddress).tick(now);
     }
-    this.lastHeardReader ??= now;
+    this.lastActiveReaderAt ??= now;
     if (this.hearsReader(now)) {
-      this.lastHeardReader = now;
+      this.lastActiveReaderAt = now;
     }
   }
 
-  /** A peer told what it has read. */
+  /** A peer sent a report. */
   heard(now: number, address: string, report: ReaderReport): void {
-    this.standing(address).heard(now, report);
+    this.status(address).heard(now, report);
   }
 
-  /** Whether the boxes of a peer are to be asked for: it has others for a while. */
+  /**
+   * Whether to request the boxes of a peer, because they have differed for a
+   * while.
+   */
   wantsBoxesOf(now: number, address: string, ownDigest: number): boolean {
-    return this.standing(address).wantsBoxes(now, ownDigest);
+    return this.status(address).wantsBoxes(now, ownDigest);
   }
 
-  /** Whether this node is one of those that read for their data centre. */
+  /** Whether this node is one of the readers of its data centre. */
   get isReader(): boolean {
     return this.isAmongReaders;
   }
 
-  /** Whether a followed node reads the store now, as far as it has told. */
+  /** Whether a followed node reads the store now, according to its reports. */
   hearsReader(now: number): boolean {
     return this.chosen.some(({peerAddress}) =>
-      this.standing(peerAddress).isReading(now),
+      this.status(peerAddress).isReading(now),
     );
   }
 
-  /** Whether this node has heard of no reader for long. */
+  /** Whether this node has had no active reader for too long. */
   isAlone(now: number): boolean {
-    return now - (this.lastHeardReader ?? now) > PATIENCE_MILLISECONDS;
+    return now - (this.lastActiveReaderAt ?? now) > READER_TIMEOUT_MILLISECONDS;
   }
 
-  /** When the reads of this node are to end, among those of all readers. */
+  /**
+   * When the polls of this node are to end, relative to those of all readers.
+   */
   turn(): ReadingTurn {
     const {box} = this.identity;
     const readers = this.directory.dataCentres
@@ -108,44 +119,46 @@
         })),
       )
       .sort((a, b) => a.rank - b.rank);
-    const place = readers.findIndex((reader) => reader.box === box);
-    const phase = place < 0 ? this.phase : place / readers.length;
+    const index = readers.findIndex((reader) => reader.box === box);
+    const phase = index < 0 ? this.phase : index / readers.length;
     return {readers: Math.max(1, readers.length), phase};
   }
 
-  /** Whether this node has to read: for the others, or since nobody tells it. */
+  /**
+   * Whether this node must read, for others or because no reader informs it.
+   */
   hasToRead(now: number): boolean {
-    const othersTry = this.chosen.length >= MOST_TRIED;
-    return this.isAmongReaders || (this.isAlone(now) && !othersTry);
+    const hasEnoughPeers = this.chosen.length >= MAXIMUM_CANDIDATES;
+    return this.isAmongReaders || (this.isAlone(now) && !hasEnoughPeers);
   }
 
-  /** Milliseconds since the store last answered whoever this node hears. */
+  /** Milliseconds since the store last answered any of the followed nodes. */
   newsAge(now: number): number | undefined {
     const ages = this.chosen.flatMap(({peerAddress}) => {
-      const age = this.standing(peerAddress).newsAge(now);
+      const age = this.status(peerAddress).newsAge(now);
       return age === undefined ? [] : [age];
     });
     return ages.length === 0 ? undefined : Math.min(...ages);
   }
 
-  /** Of the nodes that this one follows, the one with the newest news of the store. */
+  /** The followed node with the most recent data of the store. */
   freshestReader(now: number): string | undefined {
     const ageOf = ({peerAddress}: NodeIdentity): number =>
-      this.standing(peerAddress).newsAge(now) ?? Number.POSITIVE_INFINITY;
+      this.status(peerAddress).newsAge(now) ?? Number.POSITIVE_INFINITY;
     const byAge = [...this.chosen].sort((a, b) => ageOf(a) - ageOf(b));
     return byAge[0]?.peerAddress;
   }
 
-  /** Whom to listen to now. */
+  /** The peers to follow now. */
   followed(now: number): FollowedPeers {
     const near = this.chosen.map(({peerAddress}) => peerAddress);
-    const silent = [...this.standings]
-      .filter(([, standing]) => standing.isSilent(now))
+    const silent = [...this.statuses]
+      .filter(([, status]) => status.isSilent(now))
       .map(([address]) => address);
-    return {near, far: this.farPeer(now), silent};
+    return {near, far: this.remotePeer(now), silent};
   }
 
-  /** Those that read for the other data centres, as far as is known here. */
+  /** The readers of the other data centres, as far as known here. */
   elsewhere(): readonly NodeIdentity[] {
     return this.directory.dataCentres
       .filter((other) => other !== this.identity.dataCentre)
@@ -158,7 +171,10 @@
     let reading = 0;
     let isReader = false;
     for (const record of this.directory.rankedIn(dataCentre)) {
-      if (reading >= READERS_PER_DATA_CENTRE || chosen.length >= MOST_TRIED) {
+      if (
+        reading >= READERS_PER_DATA_CENTRE ||
+        chosen.length >= MAXIMUM_CANDIDATES
+      ) {
         break;
       }
       if (record.box === ownBox) {
@@ -166,10 +182,10 @@
         reading += 1;
         continue;
       }
-      const standing = this.standing(record.peerAddress);
-      if (!standing.isSilent(now)) {
+      const status = this.status(record.peerAddress);
+      if (!status.isSilent(now)) {
         chosen.push(record);
-        reading += standing.isTurnedAway ? 0 : 1;
+        reading += status.isTurnedAway ? 0 : 1;
       }
     }
     this.isAmongReaders = isReader;
@@ -181,27 +197,29 @@
     this.chosen = chosen;
     for (const {peerAddress} of chosen) {
       if (!before.has(peerAddress)) {
-        this.standing(peerAddress).followedFrom(now);
+        this.status(peerAddress).followedFrom(now);
       }
     }
   }
 
-  private standing(address: string): ReaderStanding {
-    const found = this.standings.get(address);
+  private status(address: string): ReaderStanding {
+    const found = this.statuses.get(address);
     if (found !== undefined) {
       return found;
     }
     const made = new ReaderStanding();
-    this.standings.set(address, made);
+    this.statuses.set(address, made);
     return made;
   }
 
-  /** One of the readers elsewhere, by turns; another one for each node. */
-  private farPeer(now: number): string | undefined {
+  /** One of the remote readers in rotation; nodes choose different ones. */
+  private remotePeer(now: number): string | undefined {
     const {box} = this.identity;
     const readers = this.elsewhere();
-    const turn = Math.floor(now / FAR_PEER_MILLISECONDS + this.phase);
-    const choice = stableHash(`${box} ${turn}`) / STABLE_HASH_RANGE;
+    const rotation = Math.floor(
+      now / REMOTE_PEER_ROTATION_MILLISECONDS + this.phase,
+    );
+    const choice = stableHash(`${box} ${rotation}`) / STABLE_HASH_RANGE;
     return readers[Math.floor(choice * readers.length)]?.peerAddress;
   }
 }
--- a/packages/fleet/src/recordStore.ts
+++ b/packages/fleet/src/recordStore.ts
@@ -1,57 +1,59 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** What a fleet needs of the place that keeps its records. */
+/** Interface of the store that holds a fleet's records. */
 
 import type {Era, StreamPosition} from '@lockpin/types';
 
-/** The records that operators write, and those that boxes write. */
+/** The records written by operators and those written by boxes. */
 export const RECORD_STREAMS = ['configuration', 'boxes'] as const;
 
-/** One of them. */
+/** Name of a stream. */
 export type RecordStream = (typeof RECORD_STREAMS)[number];
 
-/** A record under a key; without a value, the key was removed. */
+/** A record under a key; without a value, the key was deleted. */
 export interface StoredRecord {
   readonly key: string;
   readonly value: Buffer | undefined;
 }
 
-/** Records of a stream, in order. */
+/** Consecutive records of a stream. */
 export interface RecordPage {
   readonly records: readonly StoredRecord[];
-  /** After the last of all records. */
+  /** Position after the last record. */
   readonly end: StreamPosition;
-  /** These are the newest of all keys: what is not among them, the store does not have. */
+  /**
+   * The page holds the newest record of every key; keys not in it do not exist.
+   */
   readonly isWhole: boolean;
 }
 
 /** Why a call to the store failed. */
 export type StoreFailure =
-  /** Nothing was done: it is down, busy or cannot be reached. */
+  /** No effect: the store is down, busy or unreachable. */
   | {readonly kind: 'unavailable'; readonly detail: string}
-  /** No answer came; a write may have been done, or may be done later. */
+  /** No answer arrived; a write may have been applied, or may still be. */
   | {readonly kind: 'outcome-unknown'; readonly detail: string}
-  /** The records asked for are no longer kept: read the newest of each key. */
+  /** The requested records were compacted: read the newest of each key. */
   | {readonly kind: 'history-gone'; readonly detail: string}
-  /** The answer is none that this release understands. */
+  /** This release does not understand the answer. */
   | {readonly kind: 'unexpected'; readonly detail: string};
 
-/** A result of the store. */
+/** Result of a call to the store. */
 export type StoreResult<T> =
   | {readonly ok: true; readonly value: T; readonly era: Era}
   | {
       readonly ok: false;
       readonly failure: StoreFailure;
-      /** Undefined where no answer came, or where it does not say. */
+      /** Undefined if no answer arrived or it carries no era. */
       readonly era: Era | undefined;
     };
 
-/** The store; each function makes one call and decides nothing. */
+/** The store; each function makes a single call without retries. */
 export interface RecordStore {
   /** The newest record of each key. */
   readonly readNewest: (
     stream: RecordStream,
   ) => Promise<StoreResult<RecordPage>>;
-  /** Records from a position on; waits for one up to a time. */
+  /** Records from a position on; waits up to a limit if there are none. */
   readonly follow: (
     stream: RecordStream,
     from: StreamPosition,
--- a/packages/fleet/src/routeTable.ts
+++ b/packages/fleet/src/routeTable.ts
@@ -1,5 +1,7 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Finds the route of a call by its host and the longest prefix of its path. */
+/**
+ * Finds the route of a call by its host and the longest matching path prefix.
+ */
 
 import type {
   DeclaredConfiguration,
--- a/packages/fleet/src/runNews.ts
+++ b/packages/fleet/src/runNews.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** The way of what boxes tell of their runs to all other boxes, past the store. */
+/** Broadcasts run reports of boxes to all other boxes without the store. */
 
 import type {BoxRecord} from './boxRecord.js';
 import type {FleetAction, FleetNews} from './fleetMessages.js';
@@ -8,14 +8,15 @@
 import type {RunRelay} from './runRelay.js';
 
 /**
- * Records come from the store as well, but readers gather those of boxes for up to 5 s,
- * and a request that its caller repeats ten times a second ends as many upstreams
- * meanwhile. So a box tells its readers and the entries that call it; readers tell the
- * readers elsewhere of the boxes near them; and what is new goes through each data centre
- * from its readers on (RunRelay).
+ * The store distributes these records as well, but readers batch box records
+ * for up to 5 s, and a request that its caller retries ten times a second
+ * crashes as many upstreams meanwhile. A box therefore notifies its readers and
+ * the entries that call it, readers notify the readers of other data centres
+ * about the boxes of their own, and each data centre forwards new records from
+ * its readers on (see RelayTree).
  */
 export class RunNews {
-  private untold: BoxRecord[] = [];
+  private pending: BoxRecord[] = [];
 
   constructor(
     private readonly identity: NodeIdentity,
@@ -23,46 +24,51 @@
     private readonly relay: RunRelay,
   ) {}
 
-  /** Whether anything was learnt since it was last told. */
+  /** Whether there are records to broadcast. */
   get hasUntold(): boolean {
-    return this.untold.length > 0;
+    return this.pending.length > 0;
   }
 
-  /** A statement of a box that tells of runs is new here. */
+  /** Adds a record with run reports that was new to this node. */
   learnt(record: BoxRecord): void {
-    this.untold.push(record);
+    this.pending.push(record);
   }
 
-  /** What is to be told now, and to whom. */
+  /** The notifications to send now. */
   take(now: number): readonly FleetAction[] {
-    const {untold} = this;
-    this.untold = [];
-    return untold.flatMap((record) => this.tell(now, record));
+    const {pending} = this;
+    this.pending = [];
+    return pending.flatMap((record) => this.notificationsFor(now, record));
   }
 
-  private tell(now: number, record: BoxRecord): readonly FleetAction[] {
+  private notificationsFor(
+    now: number,
+    record: BoxRecord,
+  ): readonly FleetAction[] {
     const {box, dataCentre} = this.identity;
-    const news: FleetNews = {kind: 'boxes', boxes: [record]};
-    const isNear = record.dataCentre === dataCentre;
-    const elsewhere =
-      isNear && this.readers.isReader
+    const update: FleetNews = {kind: 'boxes', boxes: [record]};
+    const isInOwnDataCentre = record.dataCentre === dataCentre;
+    const remoteReaders =
+      isInOwnDataCentre && this.readers.isReader
         ? this.readers.elsewhere().map(({peerAddress}) => peerAddress)
         : [];
-    const onwards = [...elsewhere, ...this.relay.followers];
+    const forwardTo = [...remoteReaders, ...this.relay.followers];
     if (record.box !== box) {
-      return tellNodes(onwards, news);
+      return notifyNodes(forwardTo, update);
     }
     const {near} = this.readers.followed(now);
     return [
-      {kind: 'tell-entries', news},
-      ...tellNodes([...new Set([...near, ...onwards])], news),
+      {kind: 'tell-entries', news: update},
+      ...notifyNodes([...new Set([...near, ...forwardTo])], update),
     ];
   }
 }
 
-function tellNodes(
+function notifyNodes(
   addresses: readonly string[],
-  news: FleetNews,
+  update: FleetNews,
 ): readonly FleetAction[] {
-  return addresses.length === 0 ? [] : [{kind: 'tell-nodes', addresses, news}];
+  return addresses.length === 0
+    ? []
+    : [{kind: 'tell-nodes', addresses, news: update}];
 }
--- a/packages/fleet/src/startCheck.ts
+++ b/packages/fleet/src/startCheck.ts
@@ -1,63 +1,69 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
 /**
- * What a node asks its peers before it serves by what the store says for the first time.
- * A store that was restored has an older configuration than the one that operators were
- * told is in force; nodes that run know better, and a node that starts has no memory.
+ * Queries peers at startup before the first configuration from the store comes
+ * into force. A restored store may hold an older configuration than the one
+ * that operators were told is in force; running nodes know the newer one, while
+ * a starting node has no state.
  */
 
-/** Peers that are asked; one may be gone, and one have just started as well. */
+/**
+ * Number of peers queried; one may be gone, and one may have just started as
+ * well.
+ */
 export const PEERS_TO_ASK = 3;
 
-/** A start waits no longer for what they know. */
-const ANSWERS_MILLISECONDS = 400;
+/** How long a start waits for replies. */
+const REPLY_TIMEOUT_MILLISECONDS = 400;
 
-/** Nor for the boxes, of which the peers are known. */
+/** How long it waits for the box records that name the peers. */
 const BOXES_MILLISECONDS = 1000;
 
-/** From the first document that the store brought until it may be in force. */
+/** From the first document read from the store until it may come into force. */
 export class StartCheck {
-  private heldSince: number | undefined;
-  private askedAt: number | undefined;
-  private readonly open = new Set<string>();
+  private loadedAt: number | undefined;
+  private queriedAt: number | undefined;
+  private readonly pending = new Set<string>();
   private isDone: boolean;
 
-  /** @param isNeeded Not when the fleet starts for the first time. */
+  /** @param isNeeded False if the fleet starts for the first time. */
   constructor(isNeeded: boolean) {
     this.isDone = !isNeeded;
   }
 
-  /** Whether what the store says is not to be served by yet. */
+  /** Whether configurations from the store must not come into force yet. */
   get isHolding(): boolean {
     return !this.isDone;
   }
 
-  /** The store has brought a document. */
+  /** The store delivered a document. */
   held(now: number): void {
-    this.heldSince ??= now;
+    this.loadedAt ??= now;
   }
 
-  /** Whether the peers are to be asked now. */
+  /** Whether the peers are to be queried now. */
   get mayAsk(): boolean {
-    return this.heldSince !== undefined && this.askedAt === undefined;
+    return this.loadedAt !== undefined && this.queriedAt === undefined;
   }
 
-  /** These peers are asked; none where no other box is known. */
+  /** These peers were queried; empty if no other box is known. */
   asked(now: number, addresses: readonly string[]): void {
-    this.askedAt = now;
-    addresses.forEach((address) => this.open.add(address));
+    this.queriedAt = now;
+    addresses.forEach((address) => this.pending.add(address));
   }
 
-  /** A peer has replied, or will not. */
+  /** A peer replied or timed out. */
   replied(address: string): void {
-    this.open.delete(address);
+    this.pending.delete(address);
   }
 
-  /** What a peer has in force may be served by at once. */
+  /** Ends the check: a configuration that a peer has in force needs none. */
   end(): void {
     this.isDone = true;
   }
 
-  /** Ends once all have replied, or have not in time; true when it has just ended. */
+  /**
+   * Ends the check once all peers replied or timed out; true only when it ends.
+   */
   hasEnded(now: number): boolean {
     if (this.isDone || !this.isOver(now)) {
       return false;
@@ -67,10 +73,10 @@
   }
 
   private isOver(now: number): boolean {
-    const {askedAt, heldSince, open} = this;
-    if (askedAt === undefined) {
-      return heldSince !== undefined && now - heldSince >= BOXES_MILLISECONDS;
+    const {queriedAt, loadedAt, pending} = this;
+    if (queriedAt === undefined) {
+      return loadedAt !== undefined && now - loadedAt >= BOXES_MILLISECONDS;
     }
-    return open.size === 0 || now - askedAt >= ANSWERS_MILLISECONDS;
+    return pending.size === 0 || now - queriedAt >= REPLY_TIMEOUT_MILLISECONDS;
   }
 }
--- a/packages/fleet/src/storeAnswers.ts
+++ b/packages/fleet/src/storeAnswers.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** What every answer of the store is looked through for before it is believed. */
+/** Checks the era of every answer of the store before it is used. */
 
 import type {Era} from '@lockpin/types';
 import type {FleetAction} from './fleetMessages.js';
@@ -9,77 +9,97 @@
 import {StoreEra} from './storeEra.js';
 import type {EraFinding} from './storeEra.js';
 
-/** In place of an answer that was given before a restore. */
-const OUTDATED: StoreFailure = {
+/** Replaces an answer given before a restore. */
+const OUTDATED_ANSWER: StoreFailure = {
   kind: 'outcome-unknown',
-  detail: 'answer of an earlier era',
+  detail: 'answer from an era before the last restore',
 };
 
-/** A result as it may be believed. */
+/** A result that may be used, and the actions that follow from its era. */
 export interface CheckedResult<T> {
   readonly result: StoreResult<T>;
   readonly actions: readonly FleetAction[];
 }
 
-/** Notices restores: all is read anew then, and earlier answers change nothing. */
+/**
+ * Detects restores: everything is then read again, and earlier answers are
+ * ignored.
+ */
 export class StoreAnswers {
   readonly era = new StoreEra();
 
-  constructor(private readonly duty: StoreDuty) {}
+  constructor(private readonly readerRole: StoreDuty) {}
 
-  /** A node has noticed a restore. */
+  /** Another node detected a restore. */
   heard(now: number, era: Era): readonly FleetAction[] {
-    const finding = this.era.find(era);
-    return finding.kind === 'restored'
-      ? this.restored(now, finding, 'peer', [])
+    const comparison = this.era.find(era);
+    return comparison.kind === 'restored'
+      ? this.handleRestore(now, comparison, 'peer', [])
       : [];
   }
 
-  /** Checks one answer; `subject` says what was asked. */
+  /** Checks one answer; `subject` names the call. */
   check<T>(
     now: number,
     subject: string,
     result: StoreResult<T>,
   ): CheckedResult<T> {
-    const finding = this.era.find(result.era);
-    switch (finding.kind) {
+    const comparison = this.era.find(result.era);
+    switch (comparison.kind) {
       case 'same':
         return {result, actions: []};
       case 'first':
-        return {result, actions: [note('store-era', String(finding.era), {})]};
+        return {
+          result,
+          actions: [note('store-era', String(comparison.era), {})],
+        };
       case 'restored': {
-        const elsewhere = this.duty.readers
+        const remoteReaders = this.readerRole.readers
           .elsewhere()
           .map(({peerAddress}) => peerAddress);
-        const actions = this.restored(now, finding, subject, elsewhere);
+        const actions = this.handleRestore(
+          now,
+          comparison,
+          subject,
+          remoteReaders,
+        );
         return {result, actions};
       }
       case 'outdated': {
-        const {era} = finding;
+        const {era} = comparison;
         const known = this.era.current ?? era;
         return {
-          result: {ok: false, failure: OUTDATED, era},
+          result: {ok: false, failure: OUTDATED_ANSWER, era},
           actions: [note('store-answer-outdated', subject, {era, known})],
         };
       }
     }
   }
 
-  /** Reads of others may hang or wait on in the history that is gone: they are told. */
-  private restored(
+  /**
+   * Pending reads of other nodes may hang or wait in the discarded history, so
+   * they are notified.
+   */
+  private handleRestore(
     now: number,
     {before, era}: EraFinding & {readonly kind: 'restored'},
     source: string,
-    elsewhere: readonly string[],
+    remoteReaders: readonly string[],
   ): readonly FleetAction[] {
-    this.duty.storeRestored(now);
-    const news = {kind: 'store-restored', era} as const;
+    this.readerRole.storeRestored(now);
+    const update = {kind: 'store-restored', era} as const;
     return [
       note('store-restored', String(era), {before, source}),
-      {kind: 'tell-followers', news},
-      ...(elsewhere.length === 0
+      {kind: 'tell-followers', news: update},
+      ...(remoteReaders.length === 0
         ? []
-        : [{kind: 'tell-nodes', addresses: elsewhere, news} as const]),
+        : [
+            {
+              kind: 'tell-nodes',
+              addresses: remoteReaders,
+              news: update,
+            } as const,
+          ]),
     ];
   }
 }
--- a/packages/fleet/src/storeDuty.ts
+++ b/packages/fleet/src/storeDuty.ts
@@ -1,5 +1,7 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** A node's part in reading the store: for its data centre, for itself, or not at all. */
+/**
+ * A node's role in reading the store: for its data centre, for itself, or none.
+ */
 
 import type {RandomSource} from '@lockpin/types';
 import type {BoxDirectory} from './boxDirectory.js';
@@ -12,125 +14,133 @@
 import {StoreReading} from './storeReading.js';
 import type {ReadEnd} from './streamFollower.js';
 
-/** Reads what nobody else reads for this node. */
+/** Reads whatever no other node reads on behalf of this one. */
 export class StoreDuty {
   readonly readers: RecordReaders;
-  private readonly reading: StoreReading;
-  private followed = '';
-  private wasFollowing = false;
+  private readonly streams: StoreReading;
+  private serializedPeers = '';
+  private wasReadingStore = false;
   private isLeaving = false;
 
   constructor(
     identity: NodeIdentity,
     private readonly directory: BoxDirectory,
     isFirstStart: boolean,
-    longestRead?: number,
+    maximumReadMilliseconds?: number,
   ) {
     this.readers = new RecordReaders(identity, directory);
-    this.reading = new StoreReading(isFirstStart, longestRead);
+    this.streams = new StoreReading(isFirstStart, maximumReadMilliseconds);
   }
 
-  /** Whether this node has read who is in the fleet. */
+  /** Whether this node has read the members of the fleet. */
   get hasReadBoxes(): boolean {
-    return this.reading.hasReadBoxes;
+    return this.streams.hasReadBoxes;
   }
 
-  /** Whether this node reads the store on, for others or for itself. */
+  /** Whether this node keeps reading the store, for others or for itself. */
   isFollowing(now: number): boolean {
     return this.hasReadBoxes && !this.isLeaving && this.readers.hasToRead(now);
   }
 
-  /** Whether it reads, and the store answers: others may rely on it. */
+  /** Whether it reads and the store answers, so that others may rely on it. */
   isServing(now: number): boolean {
-    return this.isFollowing(now) && !this.reading.isInTrouble;
+    return this.isFollowing(now) && !this.streams.isInTrouble;
   }
 
-  /** Neither the store nor a reader tells this node what is new. */
+  /** Whether neither the store nor a reader informs this node of changes. */
   lacksNews(now: number): boolean {
-    const isTold = this.readers.hearsReader(now) || this.isServing(now);
-    return !isTold && (this.reading.isInTrouble || this.readers.isAlone(now));
+    const isFresh = this.readers.hearsReader(now) || this.isServing(now);
+    return !isFresh && (this.streams.isInTrouble || this.readers.isAlone(now));
   }
 
-  /** Milliseconds since the store answered this node, or a reader that it hears. */
+  /**
+   * Milliseconds since the store answered this node or a reader that it
+   * follows.
+   */
   newsAge(now: number): number | undefined {
-    const own = this.isFollowing(now) ? this.reading.answerAge(now) : undefined;
-    const told = this.readers.newsAge(now);
-    return own === undefined || told === undefined
-      ? (own ?? told)
-      : Math.min(own, told);
+    const ownStaleness = this.isFollowing(now)
+      ? this.streams.answerAge(now)
+      : undefined;
+    const readerStaleness = this.readers.newsAge(now);
+    return ownStaleness === undefined || readerStaleness === undefined
+      ? (ownStaleness ?? readerStaleness)
+      : Math.min(ownStaleness, readerStaleness);
   }
 
-  /** Milliseconds since the store answered this node; 0 where it never did. */
+  /** Milliseconds since the store answered this node; 0 if it never did. */
   storeAge(now: number): number {
-    return this.reading.answerAge(now) ?? 0;
+    return this.streams.answerAge(now) ?? 0;
   }
 
-  /** Others are to read from now on. */
+  /** Hands reading over to other nodes. */
   leave(): void {
     this.isLeaving = true;
   }
 
-  /** Whom to follow, and which reads are due. */
+  /** Returns the peers to follow and the reads that are due. */
   goOn(now: number): readonly FleetAction[] {
     if (this.hasReadBoxes) {
       this.readers.tick(now);
     }
-    const isFollowing = this.isFollowing(now);
-    const turn = this.readers.turn();
+    const isReadingStore = this.isFollowing(now);
+    const pollPhase = this.readers.turn();
     return [
-      ...this.reading.due(now, {isFollowing, turn}),
+      ...this.streams.due(now, {isFollowing: isReadingStore, turn: pollPhase}),
       ...this.followPeers(now),
-      ...this.noteTurn(isFollowing),
+      ...this.logRoleChange(isReadingStore),
     ];
   }
 
-  /** Takes in the end of a read; says what is to be noted of it. */
+  /** Handles the end of a read and returns what to log. */
   readEnded(
     now: number,
     random: RandomSource,
     stream: RecordStream,
     end: ReadEnd,
   ): readonly FleetAction[] {
-    return this.reading.ended(now, random, stream, end);
+    return this.streams.ended(now, random, stream, end);
   }
 
-  /** A peer told of a newer version than the one in force here. */
+  /** A peer reported a newer version than the one in force here. */
   newerVersionHeard(now: number): void {
-    this.reading.newerVersionHeard(now);
+    this.streams.newerVersionHeard(now);
   }
 
   /** The store was restored to an earlier state. */
   storeRestored(now: number): void {
-    this.reading.restored(now);
+    this.streams.restored(now);
   }
 
-  /** Whether of all nodes that read the store this one acts for boxes that are gone. */
+  /**
+   * Whether this node is the one reader that maintains records of departed
+   * boxes.
+   */
   get actsForOthers(): boolean {
     return this.readers.isReader && this.readers.turn().phase === 0;
   }
 
   /** A newer version came into force. */
   versionCame(): void {
-    this.reading.versionCame();
+    this.streams.versionCame();
   }
 
   private followPeers(now: number): readonly FleetAction[] {
     const peers: FollowedPeers = this.readers.followed(now);
-    const followed = JSON.stringify(peers);
-    if (followed === this.followed || !this.hasReadBoxes) {
+    const serializedPeers = JSON.stringify(peers);
+    if (serializedPeers === this.serializedPeers || !this.hasReadBoxes) {
       return [];
     }
-    this.followed = followed;
+    this.serializedPeers = serializedPeers;
     return [{kind: 'follow-peers', peers}];
   }
 
-  private noteTurn(isFollowing: boolean): readonly FleetAction[] {
-    if (isFollowing === this.wasFollowing) {
+  private logRoleChange(isReadingStore: boolean): readonly FleetAction[] {
+    if (isReadingStore === this.wasReadingStore) {
       return [];
     }
-    this.wasFollowing = isFollowing;
+    this.wasReadingStore = isReadingStore;
     const {isReader} = this.readers;
-    const event = isFollowing ? 'store-reading-begun' : 'store-reading-left';
+    const event = isReadingStore ? 'store-reading-begun' : 'store-reading-left';
     return [note(event, '', {isReader, boxes: this.directory.size})];
   }
 }
--- a/packages/fleet/src/storeEra.ts
+++ b/packages/fleet/src/storeEra.ts
@@ -1,37 +1,40 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Notices that the store was restored to an earlier state. */
+/** Detects that the store was restored to an earlier state. */
 
 import type {Era} from '@lockpin/types';
 
-/** How an answer's era relates to the newest one that this node has seen. */
+/** The era of an answer compared with the newest one seen by this node. */
 export type EraFinding =
-  /** Nothing was restored since, or the answer does not say. */
+  /** No restore since, or the answer carries no era. */
   | {readonly kind: 'same'}
-  /** The first answer that this process has had. */
+  /** The first answer that this process received. */
   | {readonly kind: 'first'; readonly era: Era}
   /** The first answer after a restore. */
   | {readonly kind: 'restored'; readonly before: Era; readonly era: Era}
-  /** It was given before a restore that is known here: nothing follows from it. */
+  /** The answer was given before a known restore and must be ignored. */
   | {readonly kind: 'outdated'; readonly era: Era};
 
 const SAME: EraFinding = {kind: 'same'};
 
-/** Knows the newest era. */
+/** Tracks the newest era. */
 export class StoreEra {
   private newest: Era | undefined;
   private restores = 0;
 
-  /** Undefined before the store has said it. */
+  /** Undefined before the first answer that carries an era. */
   get current(): Era | undefined {
     return this.newest;
   }
 
-  /** Restores that this process has noticed. */
+  /** Restores that this process has detected. */
   get restoreCount(): number {
     return this.restores;
   }
 
-  /** Compares an answer; undefined where none came or it does not say. */
+  /**
+   * Compares the era of an answer; undefined if none arrived or it carries no
+   * era.
+   */
   find(era: Era | undefined): EraFinding {
     const before = this.newest;
     if (era === undefined || era === before) {
--- a/packages/fleet/src/storeReading.ts
+++ b/packages/fleet/src/storeReading.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** What a node reads of the store's streams, and whether the store answers. */
+/** Reads the store's streams and detects whether the store answers. */
 
 import type {RandomSource} from '@lockpin/types';
 import type {FleetAction} from './fleetMessages.js';
@@ -10,71 +10,80 @@
 import {StreamFollower} from './streamFollower.js';
 import type {FirstRead, ReadEnd} from './streamFollower.js';
 
-/** Failed reads in a row after which the store counts as lost. */
-const FAILURES_TO_LOSE_STORE = 2;
+/** Consecutive failed reads after which the store counts as lost. */
+const FAILURES_UNTIL_LOST = 2;
 
 /**
- * When a fleet starts for the first time no box has written yet. Upstreams announce
- * themselves within 1.5 s of their start; one read after that finds them all.
+ * At the first start of a fleet no box has written its record yet. Upstreams
+ * announce themselves within 1.5 s of their start, so a single read after this
+ * delay finds them all.
  */
-const FIRST_START_MILLISECONDS = 2000;
+const FIRST_START_DELAY_MILLISECONDS = 2000;
 
-/** A read that was given up. */
+/** Failure recorded for a read that timed out. */
 const NO_ANSWER: StoreFailure = {
   kind: 'unavailable',
-  detail: 'no answer in time',
+  detail: 'read timed out',
 };
 
-/** The part that a node has in reading the store for the fleet. */
+/** A node's current role in reading the store for the fleet. */
 export interface ReadingPart {
-  /** It reads on, for others or for itself. */
+  /** The node keeps reading, for others or for itself. */
   readonly isFollowing: boolean;
   readonly turn: ReadingTurn;
 }
 
-/** Follows both streams; notes when the store is lost, and regained. */
+/** Follows both streams; logs when the store is lost and when it is back. */
 export class StoreReading {
   private readonly followers: Readonly<Record<RecordStream, StreamFollower>>;
   private hasLostStore = false;
   private lastAnswerAt: number | undefined;
 
-  constructor(isFirstStart: boolean, longestRead?: number) {
+  constructor(isFirstStart: boolean, maximumReadMilliseconds?: number) {
     const firstBoxes: FirstRead = isFirstStart
-      ? {kind: 'whole-history', afterMilliseconds: FIRST_START_MILLISECONDS}
+      ? {
+          kind: 'whole-history',
+          afterMilliseconds: FIRST_START_DELAY_MILLISECONDS,
+        }
       : {kind: 'newest'};
     this.followers = {
       configuration: new StreamFollower(
         'configuration',
         {kind: 'newest'},
-        longestRead,
+        maximumReadMilliseconds,
       ),
       boxes: new StreamFollower('boxes', firstBoxes),
     };
   }
 
-  /** Several reads in a row have failed, and none has ended well since. */
+  /** Several reads in a row have failed, and none has succeeded since. */
   get isLost(): boolean {
     return this.hasLostStore;
   }
 
-  /** Newer configurations may not come from the store: peers are asked instead. */
+  /**
+   * The store may not deliver newer configurations, so peers are queried
+   * instead.
+   */
   get isInTrouble(): boolean {
     return this.isLost || this.followers.configuration.failureCount > 0;
   }
 
-  /** Whether this node has read who is in the fleet. */
+  /** Whether this node has read the members of the fleet. */
   get hasReadBoxes(): boolean {
     return this.followers.boxes.hasRead;
   }
 
-  /** Milliseconds since the store last answered a read; undefined before it did. */
+  /**
+   * Milliseconds since the store last answered a read; undefined before it did.
+   */
   answerAge(now: number): number | undefined {
     return this.lastAnswerAt === undefined
       ? undefined
       : now - this.lastAnswerAt;
   }
 
-  /** A peer knows a newer version than the store has brought to this node. */
+  /** A peer has a newer version than the store has delivered to this node. */
   newerVersionHeard(now: number): void {
     this.followers.configuration.expectNews(now);
   }
@@ -84,23 +93,29 @@
     RECORD_STREAMS.forEach((stream) => this.followers[stream].restored(now));
   }
 
-  /** A newer version came into force, however it came. */
+  /** A newer version came into force, from whichever source. */
   versionCame(): void {
     this.followers.configuration.newsCame();
   }
 
-  /** The reads that are due now; once a stream was read, only if it is followed. */
-  due(now: number, {isFollowing, turn}: ReadingPart): readonly FleetAction[] {
+  /**
+   * The reads that are due now. Each stream is read until a read succeeds;
+   * after that, only while the node keeps reading.
+   */
+  due(
+    now: number,
+    {isFollowing: isReadingStore, turn: pollPhase}: ReadingPart,
+  ): readonly FleetAction[] {
     return RECORD_STREAMS.flatMap((stream) => {
       const follower = this.followers[stream];
-      const hung = this.noteHung(now, stream);
-      const isDue = isFollowing || !follower.hasRead;
-      const read = isDue ? follower.due(now, turn) : undefined;
-      return read === undefined ? hung : [...hung, read];
+      const timedOut = this.logTimedOutRead(now, stream);
+      const isDue = isReadingStore || !follower.hasRead;
+      const read = isDue ? follower.due(now, pollPhase) : undefined;
+      return read === undefined ? timedOut : [...timedOut, read];
     });
   }
 
-  /** Takes in the end of a read; says what is to be noted of it. */
+  /** Handles the end of a read and returns what to log. */
   ended(
     now: number,
     random: RandomSource,
@@ -110,7 +125,7 @@
     this.followers[stream].ended(now, random, end);
     const {result} = end;
     if (!result.ok) {
-      return this.noteLoss(stream, result.failure);
+      return this.logLoss(stream, result.failure);
     }
     this.lastAnswerAt = now;
     const wasLost = this.hasLostStore;
@@ -118,22 +133,25 @@
     return wasLost ? [note('store-regained', stream, {})] : [];
   }
 
-  private noteHung(now: number, stream: RecordStream): readonly FleetAction[] {
-    const hung = this.followers[stream].giveUp(now);
-    return hung === undefined
+  private logTimedOutRead(
+    now: number,
+    stream: RecordStream,
+  ): readonly FleetAction[] {
+    const timedOut = this.followers[stream].giveUp(now);
+    return timedOut === undefined
       ? []
       : [
-          note('store-read-hung', stream, {...hung}),
-          ...this.noteLoss(stream, NO_ANSWER),
+          note('store-read-hung', stream, {...timedOut}),
+          ...this.logLoss(stream, NO_ANSWER),
         ];
   }
 
-  private noteLoss(
+  private logLoss(
     stream: RecordStream,
     {kind, detail}: StoreFailure,
   ): readonly FleetAction[] {
     const {failureCount} = this.followers[stream];
-    if (this.hasLostStore || failureCount < FAILURES_TO_LOSE_STORE) {
+    if (this.hasLostStore || failureCount < FAILURES_UNTIL_LOST) {
       return [];
     }
     this.hasLostStore = true;
--- a/packages/fleet/src/storeResults.ts
+++ b/packages/fleet/src/storeResults.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** What follows from the ends of calls to the store. */
+/** Handles the results of calls to the store. */
 
 import type {RandomSource} from '@lockpin/types';
 import type {BoxLearning} from './boxLearning.js';
@@ -10,7 +10,7 @@
 import type {StoreAnswers} from './storeAnswers.js';
 import type {StoreDuty} from './storeDuty.js';
 
-/** Who takes what the store says. */
+/** The components that results are passed to. */
 export interface StoreResultsContext {
   readonly answers: StoreAnswers;
   readonly duty: StoreDuty;
@@ -19,7 +19,7 @@
   readonly ownBox: OwnBox;
 }
 
-/** Believes each answer as far as its era allows, and hands it on. */
+/** Checks the era of each answer, and dispatches it. */
 export class StoreResults {
   constructor(private readonly context: StoreResultsContext) {}
 
@@ -29,13 +29,13 @@
     random: RandomSource,
     {stream, read, result}: FleetEvent & {readonly kind: 'read-ended'},
   ): readonly FleetAction[] {
-    const {answers, duty} = this.context;
+    const {answers, duty: readerRole} = this.context;
     const checked = answers.check(now, stream, result);
     const end = {read, result: checked.result};
     return [
       ...checked.actions,
-      ...duty.readEnded(now, random, stream, end),
-      ...(end.result.ok ? this.take(now, stream, end.result.value) : []),
+      ...readerRole.readEnded(now, random, stream, end),
+      ...(end.result.ok ? this.dispatch(now, stream, end.result.value) : []),
     ];
   }
 
@@ -44,19 +44,22 @@
     now: number,
     result: StoreResult<undefined>,
   ): readonly FleetAction[] {
-    const {answers, ownBox} = this.context;
+    const {answers, ownBox: announcementHandler} = this.context;
     const checked = answers.check(now, 'write', result);
-    return [...checked.actions, ...ownBox.writeEnded(now, checked.result)];
+    return [
+      ...checked.actions,
+      ...announcementHandler.writeEnded(now, checked.result),
+    ];
   }
 
-  private take(
+  private dispatch(
     now: number,
     stream: RecordStream,
     page: RecordPage,
   ): readonly FleetAction[] {
-    const {learning, boxes} = this.context;
+    const {learning: configurationHandler, boxes} = this.context;
     return stream === 'configuration'
-      ? learning.fromStore(now, page)
+      ? configurationHandler.fromStore(now, page)
       : boxes.fromStore(now, page);
   }
 }
