--- a/packages/fleet/src/streamFollower.ts
+++ b/packages/fleet/src/streamFollower.ts
@@ -1,12 +1,12 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** When a node reads a stream of the store, and from where. */
+/** Schedules the reads of one stream of the store. */
 
 import type {RandomSource, StreamPosition} from '@lockpin/types';
 import {waitForTurn} from './readingTurn.js';
 import type {ReadingTurn} from './readingTurn.js';
 import type {RecordPage, RecordStream, StoreResult} from './recordStore.js';
 
-/** A read that is to be made now. */
+/** A read that is to be started now. */
 export type StreamRead =
   | {
       readonly kind: 'read-newest';
@@ -16,13 +16,13 @@
   | {
       readonly kind: 'follow';
       readonly stream: RecordStream;
-      /** Tells the reads of a node apart; later ones have higher numbers. */
+      /** Identifies the reads of a node; later ones have higher numbers. */
       readonly read: number;
       readonly from: StreamPosition;
       readonly waitMilliseconds: number;
     };
 
-/** How a read ended. */
+/** The result of a read. */
 export interface ReadEnd {
   readonly read: number;
   readonly result: StoreResult<RecordPage>;
@@ -33,259 +33,284 @@
   readonly milliseconds: number;
 }
 
-/** First pause after a failed read; doubled with each further one. */
+/** First delay after a failed read; doubled after each further one. */
 const FIRST_BACKOFF_MILLISECONDS = 150;
 
-/** Records must be back within two seconds of the store's return. */
-const LONGEST_BACKOFF_MILLISECONDS = 1000;
+/** Records must be up to date within two seconds after the store is back. */
+const MAXIMUM_BACKOFF_MILLISECONDS = 1000;
 
 /**
- * Changes tend to come in series. Reading on after a pause gathers them in one
- * answer, since every call to the store is paid for.
+ * Changes tend to come in series. Pausing before the next read batches them
+ * into one answer, since every call to the store has a cost.
  */
-const GATHER_MILLISECONDS: Readonly<Record<RecordStream, number>> = {
+const BATCH_MILLISECONDS: Readonly<Record<RecordStream, number>> = {
   configuration: 150,
   boxes: 1000,
 };
 
 /**
  * In a larger fleet boxes change more often, and each change wakes every node:
- * reads of changes would grow with the square of the nodes.
+ * reads caused by changes would grow with the square of the number of nodes.
  */
-const GATHER_PER_NODE_MILLISECONDS = 50;
+const BATCH_PER_NODE_MILLISECONDS = 50;
 
-/** A new box is to have work within a few seconds in a fleet of any size. */
-const LONGEST_GATHER_MILLISECONDS = 5000;
+/** A new box is to receive work within a few seconds in a fleet of any size. */
+const MAXIMUM_BATCH_MILLISECONDS = 5000;
 
-/** In a very large fleet the rate of reads counts for more than that. */
-const RATE_GATHER_PER_NODE_MILLISECONDS = 2;
+/** In a very large fleet the rate of reads takes precedence over that limit. */
+const MINIMUM_BATCH_PER_NODE_MILLISECONDS = 2;
 
-/** An answer that takes longer than the wait and this may never come. */
-const SHORTEST_PATIENCE_MILLISECONDS = 500;
+/** An answer that exceeds the wait by more than this may never arrive. */
+const MINIMUM_TIMEOUT_MILLISECONDS = 500;
 
-/** However slow the store's answers were. */
-const LONGEST_PATIENCE_MILLISECONDS = 2500;
+/** Upper bound of the timeout, however slow the store's answers were. */
+const MAXIMUM_TIMEOUT_MILLISECONDS = 2500;
 
-/** Answers may take this many times longer than the last one did. */
-const PATIENCE_FACTOR = 2;
+/** Answers may take this many times as long as the last one. */
+const TIMEOUT_FACTOR = 2;
 
 /**
- * While reads hang, one is begun this often: what was sent into a silence is never
- * answered, and only a read that begins after it shows that it is over.
+ * While reads hang, a new one is started this often: a read sent during an
+ * outage is never answered, and only one that starts afterwards shows that it
+ * is over.
  */
-const PROBE_MILLISECONDS = 1000;
+const PROBE_INTERVAL_MILLISECONDS = 1000;
 
-/** A read that is under way should have brought what a peer knows by then. */
-const NEWS_MILLISECONDS = 150;
+/** Time within which a pending read should deliver what a peer already has. */
+const UPDATE_GRACE_MILLISECONDS = 150;
 
-/** Where a history begins that nothing was ever taken out of. */
-const HISTORY_BEGIN: StreamPosition = {era: 0, offset: 0};
+/** Start of a history from which nothing was ever removed. */
+const HISTORY_START: StreamPosition = {era: 0, offset: 0};
 
-/** What the first read of a stream asks for. */
+/** What the first read of a stream requests. */
 export type FirstRead =
   | {readonly kind: 'newest'}
-  /** All that was ever written, some time after the process began. */
+  /** The complete history, at some time after the process started. */
   | {readonly kind: 'whole-history'; readonly afterMilliseconds: number};
 
-/** A read that was begun and may still be answered. */
-interface BegunRead {
+/** A read that was started and may still be answered. */
+interface PendingRead {
   readonly read: number;
-  readonly begunAt: number;
+  readonly startedAt: number;
   readonly waitMilliseconds: number;
 }
 
-/** One read at a time is waited for; a pause follows news and failures. */
+/** Waits for one read at a time and pauses after updates and failures. */
 export class StreamFollower {
   private from: StreamPosition | undefined;
-  /** The newest one, while its answer is not overdue. */
-  private current: BegunRead | undefined;
-  /** All that have not ended; what is overdue is welcome still. */
-  private readonly begun = new Map<number, BegunRead>();
+  /** The newest read, until it times out. */
+  private current: PendingRead | undefined;
+  /** All reads that have not ended; a late answer is still used. */
+  private readonly pending = new Map<number, PendingRead>();
   private lastRead = 0;
-  private hasEndedWell = false;
-  /** Undefined until the follower is first asked. */
-  private nextAt: number | undefined;
+  private hasSucceeded = false;
+  /** Undefined until the first call of due. */
+  private nextReadAt: number | undefined;
   private failures = 0;
-  /** The last read of records that follow found them gone. */
+  /** The last read of following records found them compacted. */
   private isHistoryLost = false;
-  private patience = SHORTEST_PATIENCE_MILLISECONDS;
-  /** When a peer first told of what the store has not brought yet. */
-  private expectsNewsSince: number | undefined;
+  private timeout = MINIMUM_TIMEOUT_MILLISECONDS;
+  /**
+   * When a peer first reported something that the store has not delivered yet.
+   */
+  private updateExpectedSince: number | undefined;
   private readers = 1;
 
   constructor(
     private readonly stream: RecordStream,
-    private readonly firstRead: FirstRead = {kind: 'newest'},
-    /** No read waits longer for news; in milliseconds. */
-    private readonly longestRead = Number.POSITIVE_INFINITY,
+    private readonly initialRead: FirstRead = {kind: 'newest'},
+    /** Maximum wait of a read for records, in milliseconds. */
+    private readonly maximumReadMilliseconds = Number.POSITIVE_INFINITY,
   ) {
-    this.from = firstRead.kind === 'whole-history' ? HISTORY_BEGIN : undefined;
+    this.from =
+      initialRead.kind === 'whole-history' ? HISTORY_START : undefined;
   }
 
-  /** Reads failed, one after the other, until now. */
+  /** Number of consecutive failed reads. */
   get failureCount(): number {
     return this.failures;
   }
 
-  /** Whether the stream was read at all. */
+  /** Whether a read of the stream has ever succeeded. */
   get hasRead(): boolean {
-    return this.hasEndedWell;
+    return this.hasSucceeded;
   }
 
   /**
-   * The store was restored. Reads that are under way may skip what was written since, as
-   * their offsets are given out again: all is read anew, at once.
+   * The store was restored. Pending reads may skip records written since,
+   * because their offsets are reused, so everything is read again at once.
    */
   restored(now: number): void {
     this.from = undefined;
     this.current = undefined;
-    this.nextAt = this.nextAt === undefined ? undefined : now;
+    this.nextReadAt = this.nextReadAt === undefined ? undefined : now;
   }
 
-  /** A peer knows what this stream should have brought. */
+  /** A peer has something that this stream should have delivered. */
   expectNews(now: number): void {
-    this.expectsNewsSince ??= now;
+    this.updateExpectedSince ??= now;
   }
 
-  /** What was expected is here, however it came. */
+  /** The expected update arrived, from whichever source. */
   newsCame(): void {
-    this.expectsNewsSince = undefined;
+    this.updateExpectedSince = undefined;
   }
 
-  /** Stops waiting for a read whose answer is overdue; says so once of each. */
+  /** Stops waiting for an overdue read; reports each one once. */
   giveUp(now: number): HungRead | undefined {
     const {current} = this;
-    if (current === undefined || now < this.dueBy(current)) {
+    if (current === undefined || now < this.deadlineOf(current)) {
       return undefined;
     }
     this.current = undefined;
     this.failures += 1;
-    this.nextAt = Math.max(now, current.begunAt + PROBE_MILLISECONDS);
-    return {milliseconds: Math.round(now - current.begunAt)};
+    this.nextReadAt = Math.max(
+      now,
+      current.startedAt + PROBE_INTERVAL_MILLISECONDS,
+    );
+    return {milliseconds: Math.round(now - current.startedAt)};
   }
 
   /** The read that is due now, if any. */
-  due(now: number, turn: ReadingTurn): StreamRead | undefined {
-    this.nextAt ??= now + this.firstDelay;
-    const isDoubtful = this.lacksNews(now);
-    if (isDoubtful) {
-      this.expectsNewsSince = undefined;
-    } else if (this.current !== undefined || now < this.nextAt) {
+  due(now: number, pollPhase: ReadingTurn): StreamRead | undefined {
+    this.nextReadAt ??= now + this.firstDelay;
+    const isOverdue = this.isUpdateOverdue(now);
+    if (isOverdue) {
+      this.updateExpectedSince = undefined;
+    } else if (this.current !== undefined || now < this.nextReadAt) {
       return undefined;
     }
-    this.readers = turn.readers;
-    return this.begin(now, turn, isDoubtful || this.failures > 0);
+    this.readers = pollPhase.readers;
+    return this.begin(now, pollPhase, isOverdue || this.failures > 0);
   }
 
-  /** Takes in the end of a read. */
+  /** Handles the end of a read. */
   ended(now: number, random: RandomSource, {read, result}: ReadEnd): void {
-    const begun = this.begun.get(read);
-    this.begun.delete(read);
+    const pending = this.pending.get(read);
+    this.pending.delete(read);
     if (result.ok) {
-      this.answered(now, begun, result.value);
+      this.handleAnswer(now, pending, result.value);
     }
-    if (begun === undefined || begun !== this.current) {
+    if (pending === undefined || pending !== this.current) {
       return;
     }
     this.current = undefined;
     if (result.ok) {
-      this.readOn(now, result.value);
+      this.continueFrom(now, result.value);
     } else if (result.failure.kind === 'history-gone') {
-      this.readAnew(now);
+      this.restart(now);
     } else {
-      this.failed(now, random);
+      this.backOff(now, random);
     }
   }
 
-  /** The read under way has not brought what a peer has known for a while. */
-  private lacksNews(now: number): boolean {
-    const {current, expectsNewsSince} = this;
+  /**
+   * Whether the pending read has not delivered what a peer has had for a while.
+   */
+  private isUpdateOverdue(now: number): boolean {
+    const {current, updateExpectedSince} = this;
     return (
-      expectsNewsSince !== undefined &&
+      updateExpectedSince !== undefined &&
       current !== undefined &&
-      current.begunAt < expectsNewsSince &&
-      now - expectsNewsSince >= NEWS_MILLISECONDS
+      current.startedAt < updateExpectedSince &&
+      now - updateExpectedSince >= UPDATE_GRACE_MILLISECONDS
     );
   }
 
-  private begin(now: number, turn: ReadingTurn, isProbe: boolean): StreamRead {
+  private begin(
+    now: number,
+    pollPhase: ReadingTurn,
+    isProbe: boolean,
+  ): StreamRead {
     const {stream, from} = this;
     this.lastRead += 1;
     const read = this.lastRead;
     const waitMilliseconds =
       from === undefined || isProbe
         ? 0
-        : waitForTurn(now, stream, turn, this.longestRead);
-    this.current = {read, begunAt: now, waitMilliseconds};
-    this.begun.set(read, this.current);
+        : waitForTurn(now, stream, pollPhase, this.maximumReadMilliseconds);
+    this.current = {read, startedAt: now, waitMilliseconds};
+    this.pending.set(read, this.current);
     return from === undefined
       ? {kind: 'read-newest', stream, read}
       : {kind: 'follow', stream, read, from, waitMilliseconds};
   }
 
-  /** The store speaks, also where the answer is to a read that was given up. */
-  private answered(
+  /** The store answered, possibly to a read that had timed out. */
+  private handleAnswer(
     now: number,
-    begun: BegunRead | undefined,
+    pending: PendingRead | undefined,
     {records}: RecordPage,
   ): void {
     this.failures = 0;
-    this.hasEndedWell = true;
-    if (begun !== undefined && records.length === 0) {
-      const took = now - begun.begunAt - begun.waitMilliseconds;
-      this.patience = Math.min(
-        LONGEST_PATIENCE_MILLISECONDS,
-        Math.max(SHORTEST_PATIENCE_MILLISECONDS, took * PATIENCE_FACTOR),
+    this.hasSucceeded = true;
+    if (pending !== undefined && records.length === 0) {
+      const latency = now - pending.startedAt - pending.waitMilliseconds;
+      this.timeout = Math.min(
+        MAXIMUM_TIMEOUT_MILLISECONDS,
+        Math.max(MINIMUM_TIMEOUT_MILLISECONDS, latency * TIMEOUT_FACTOR),
       );
     }
   }
 
-  private readOn(now: number, {records, end}: RecordPage): void {
-    // Only records that follow on show that the history is there again.
+  private continueFrom(now: number, {records, end}: RecordPage): void {
+    // Only following records show that the history is available again.
     this.isHistoryLost &&= this.from === undefined;
     this.from = end;
-    this.nextAt = records.length > 0 ? now + this.gather() : now;
+    this.nextReadAt = records.length > 0 ? now + this.batchDelay() : now;
   }
 
-  /** At once for the first time; a store that keeps saying so is not pressed. */
-  private readAnew(now: number): void {
-    this.nextAt = this.isHistoryLost ? now + FIRST_BACKOFF_MILLISECONDS : now;
+  /**
+   * Reads at once the first time; if the history is still missing, it backs
+   * off.
+   */
+  private restart(now: number): void {
+    this.nextReadAt = this.isHistoryLost
+      ? now + FIRST_BACKOFF_MILLISECONDS
+      : now;
     this.isHistoryLost = true;
     this.from = undefined;
   }
 
-  private failed(now: number, random: RandomSource): void {
-    const pause = Math.min(
-      LONGEST_BACKOFF_MILLISECONDS,
+  private backOff(now: number, random: RandomSource): void {
+    const backoff = Math.min(
+      MAXIMUM_BACKOFF_MILLISECONDS,
       FIRST_BACKOFF_MILLISECONDS * 2 ** this.failures,
     );
     this.failures += 1;
-    this.nextAt = now + pause * (0.5 + random());
+    this.nextReadAt = now + backoff * (0.5 + random());
   }
 
-  /** All boxes come in several pages, each of which takes as long as an answer. */
-  private dueBy({begunAt, waitMilliseconds}: BegunRead): number {
-    const hasPages = this.from === undefined && this.stream === 'boxes';
-    const patience = hasPages ? LONGEST_PATIENCE_MILLISECONDS : this.patience;
-    return begunAt + waitMilliseconds + patience;
+  /**
+   * A read of all boxes takes several pages, each of which may take as long as
+   * an answer.
+   */
+  private deadlineOf({startedAt, waitMilliseconds}: PendingRead): number {
+    const isPaged = this.from === undefined && this.stream === 'boxes';
+    const timeout = isPaged ? MAXIMUM_TIMEOUT_MILLISECONDS : this.timeout;
+    return startedAt + waitMilliseconds + timeout;
   }
 
   private get firstDelay(): number {
-    const {firstRead} = this;
-    return firstRead.kind === 'newest' ? 0 : firstRead.afterMilliseconds;
+    const {initialRead} = this;
+    return initialRead.kind === 'newest' ? 0 : initialRead.afterMilliseconds;
   }
 
-  /** How long the pause after news is. */
-  private gather(): number {
-    const least = GATHER_MILLISECONDS[this.stream];
+  /** The pause after records arrived. */
+  private batchDelay(): number {
+    const minimum = BATCH_MILLISECONDS[this.stream];
     if (this.stream !== 'boxes') {
-      return least;
+      return minimum;
     }
     const {readers} = this;
-    const wanted = Math.min(
-      LONGEST_GATHER_MILLISECONDS,
-      readers * GATHER_PER_NODE_MILLISECONDS,
+    const scaled = Math.min(
+      MAXIMUM_BATCH_MILLISECONDS,
+      readers * BATCH_PER_NODE_MILLISECONDS,
+    );
+    return Math.max(
+      minimum,
+      scaled,
+      readers * MINIMUM_BATCH_PER_NODE_MILLISECONDS,
     );
-    return Math.max(least, wanted, readers * RATE_GATHER_PER_NODE_MILLISECONDS);
   }
 }
--- a/packages/fleet/src/suspectRequests.ts
+++ b/packages/fleet/src/suspectRequests.ts
@@ -1,5 +1,7 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Requests that end upstreams: what this node knows of them, and what it tells. */
+/**
+ * Requests suspected of crashing upstreams: what this node knows and reports.
+ */
 
 import {OwnLifts, OwnRuns, Quarantine, isInQuestion} from '@lockpin/quarantine';
 import type {
@@ -13,116 +15,131 @@
 import type {FleetAction} from './fleetMessages.js';
 import {note} from './fleetNote.js';
 
-/** Gathers what is learnt until it is asked what follows from it. */
+/** Collects what is learnt until the resulting actions are taken. */
 export class SuspectRequests {
   private readonly quarantine: Quarantine;
   private readonly own = new OwnRuns();
   private readonly ownLifts = new OwnLifts();
-  private learnt: readonly SuspectStanding[] = [];
-  private hasMoreToTell = false;
+  private unprocessed: readonly SuspectStanding[] = [];
+  private hasChanges = false;
 
-  /** @param runsProgram Whether the fleet has a working upstream with a program. */
+  /**
+   * @param runsProgram Whether an upstream that takes work runs a program
+   * version.
+   */
   constructor(runsProgram: RunsProgram = () => true) {
     this.quarantine = new Quarantine(runsProgram);
   }
 
-  /** How much longer no upstream is to run a request, in milliseconds; 0 if one may. */
+  /** Milliseconds for which no upstream may run a request; 0 if it may run. */
   remaining(now: number, digest: string): number {
     return this.quarantine.remaining(now, digest);
   }
 
-  /** All requests that no upstream is to run now. */
+  /** All requests that no upstream may run now. */
   quarantined(now: number): readonly QuarantinedRequest[] {
     return this.quarantine.all(now);
   }
 
-  /** Requests that were running when an upstream ended. */
+  /** Number of requests that were running when an upstream crashed. */
   get count(): number {
     return this.quarantine.size;
   }
 
-  /** What this box tells of them. */
+  /** The run reports of this box. */
   get reports(): readonly RunReport[] {
     return this.own.reports;
   }
 
-  /** Quarantines that operators have lifted at this box. */
+  /** Quarantines that operators lifted at this box. */
   get lifts(): readonly QuarantineLift[] {
     return this.ownLifts.all;
   }
 
-  /** A box told of its runs, and of what operators have lifted there. */
+  /** Applies the run reports and lifts of a box. */
   learn(now: number, {box, service, runs, lifts}: BoxRecord): void {
     if (runs !== undefined) {
-      const news = this.quarantine.learn(now, box, runs, service);
-      this.learnt = [...this.learnt, ...news];
+      const changes = this.quarantine.learn(now, box, runs, service);
+      this.unprocessed = [...this.unprocessed, ...changes];
     }
     if (lifts !== undefined) {
-      this.learnLifts(now, lifts);
+      this.applyLifts(now, lifts);
     }
   }
 
-  /** The store has this of an earlier process of this box. */
+  /** Applies the stored record of an earlier process of this box. */
   adopt(now: number, record: BoxRecord): void {
     this.learn(now, record);
-    this.noteIf(this.own.adopt(now, record.runs ?? []));
-    this.noteIf(this.ownLifts.add(now, record.lifts ?? []));
-    this.ownLifts.all.forEach((lift) => this.noteIf(this.own.lifted(lift)));
+    this.markChanged(this.own.adopt(now, record.runs ?? []));
+    this.markChanged(this.ownLifts.add(now, record.lifts ?? []));
+    this.ownLifts.all.forEach((lift) =>
+      this.markChanged(this.own.lifted(lift)),
+    );
   }
 
-  /** The upstream here, which runs this program, ended while it ran these. */
+  /**
+   * The upstream of this box, running this program version, crashed during
+   * these requests.
+   */
   crashed(now: number, digests: readonly string[], program?: string): void {
-    this.noteIf(this.own.crashed(now, digests, program));
+    this.markChanged(this.own.crashed(now, digests, program));
   }
 
-  /** A run ended, and the upstream here lives. */
+  /** A run ended without crashing the upstream of this box. */
   survived(now: number, digest: string): void {
-    const isAsked = this.quarantine.wantsSurvivals(digest);
-    this.noteIf(this.own.survived(now, digest, isAsked));
+    const wantsSurvival = this.quarantine.wantsSurvivals(digest);
+    this.markChanged(this.own.survived(now, digest, wantsSurvival));
   }
 
-  /** An operator lifts a quarantine here, for all boxes. */
+  /** An operator lifts a quarantine at this box, for all boxes. */
   lift(now: number, digest: string): void {
     const lift = this.quarantine.lift(now, digest);
     if (lift !== undefined) {
-      this.noteIf(this.ownLifts.add(now, [lift]));
-      this.learnLifts(now, [lift]);
+      this.markChanged(this.ownLifts.add(now, [lift]));
+      this.applyLifts(now, [lift]);
     }
   }
 
-  /** What is newly known, for the log and for calls in hand. */
+  /**
+   * Actions for the log and for pending calls that follow from new information.
+   */
   takeFindings(now: number): readonly FleetAction[] {
-    const {learnt} = this;
-    if (learnt.length === 0) {
+    const {unprocessed} = this;
+    if (unprocessed.length === 0) {
       return [];
     }
-    this.learnt = [];
-    for (const standing of learnt.filter(isInQuestion)) {
-      this.noteIf(this.own.questioned(now, standing.digest));
+    this.unprocessed = [];
+    for (const standing of unprocessed.filter(isInQuestion)) {
+      this.markChanged(this.own.questioned(now, standing.digest));
     }
-    return learnt.flatMap((standing) => findingOf(now, standing));
+    return unprocessed.flatMap((standing) => actionsFor(now, standing));
   }
 
-  /** True once after there is more that the other boxes are to know. */
+  /**
+   * True once after there was a change that the other boxes have to receive.
+   */
   takeHasMoreToTell(): boolean {
-    const {hasMoreToTell} = this;
-    this.hasMoreToTell = false;
-    return hasMoreToTell;
+    const {hasChanges} = this;
+    this.hasChanges = false;
+    return hasChanges;
   }
 
-  /** Reports that a lift makes void leave the record of this box, for good. */
-  private learnLifts(now: number, lifts: readonly QuarantineLift[]): void {
-    const news = this.quarantine.learnLifts(now, lifts);
-    this.learnt = [...this.learnt, ...news];
-    lifts.forEach((lift) => this.noteIf(this.own.lifted(lift)));
+  /**
+   * Reports that a lift invalidates are removed from this box's record
+   * permanently.
+   */
+  private applyLifts(now: number, lifts: readonly QuarantineLift[]): void {
+    const changes = this.quarantine.learnLifts(now, lifts);
+    this.unprocessed = [...this.unprocessed, ...changes];
+    lifts.forEach((lift) => this.markChanged(this.own.lifted(lift)));
   }
 
-  private noteIf(isNews: boolean): void {
-    this.hasMoreToTell ||= isNews;
+  private markChanged(isChange: boolean): void {
+    this.hasChanges ||= isChange;
   }
 }
 
-function findingOf(
+function actionsFor(
   now: number,
   standing: SuspectStanding,
 ): readonly FleetAction[] {
--- a/packages/fleet/src/versionWatch.ts
+++ b/packages/fleet/src/versionWatch.ts
@@ -1,60 +1,65 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Notices that a version which peers told of does not come into force here. */
+/** Detects that a version reported by peers does not come into force here. */
 
 import type {FleetAction} from './fleetMessages.js';
 import {note} from './fleetNote.js';
 
-/** Most versions are in force sooner after a peer told of them. */
-const LATE_MILLISECONDS = 1000;
+/**
+ * Most versions come into force within this time after the first report of a
+ * peer.
+ */
+const LATE_AFTER_MILLISECONDS = 1000;
 
-/** What happened since the first peer told of a version that is not in force. */
+/** Events since the first peer reported a version that is not in force. */
 interface AwaitedVersion {
-  readonly firstAt: number;
+  readonly firstReportedAt: number;
   readonly firstAddress: string;
   newest: number;
   readonly tellers: Set<string>;
   questions: number;
   unanswered: number;
-  isNoted: boolean;
+  isLogged: boolean;
 }
 
-/** Decides nothing; keeps what the log needs to say why a version is late. */
+/**
+ * Makes no decisions; collects what the log needs to explain a late version.
+ */
 export class VersionWatch {
   private awaited: AwaitedVersion | undefined;
 
-  /** A peer told the version that is in force there. */
+  /** A peer reported the version in force there. */
   heard(now: number, address: string, version: number, inForce: number): void {
     if (version <= inForce) {
       return;
     }
     this.awaited ??= {
-      firstAt: now,
+      firstReportedAt: now,
       firstAddress: address,
       newest: version,
       tellers: new Set(),
       questions: 0,
       unanswered: 0,
-      isNoted: false,
+      isLogged: false,
     };
     this.awaited.newest = Math.max(this.awaited.newest, version);
     this.awaited.tellers.add(address);
   }
 
-  /** A peer is asked. */
+  /** A peer was queried. */
   asked(): void {
     if (this.awaited !== undefined) {
       this.awaited.questions += 1;
     }
   }
 
-  /** A peer that was asked did not answer. */
+  /** A queried peer did not reply. */
   unanswered(): void {
     if (this.awaited !== undefined) {
       this.awaited.unanswered += 1;
     }
   }
 
-  /** Says once of each awaited version that it is late. */
+  /** Logs each awaited version that is late once. */
   due(now: number, inForce: number): readonly FleetAction[] {
     const {awaited} = this;
     if (awaited !== undefined && awaited.newest <= inForce) {
@@ -63,18 +68,18 @@
     }
     if (
       awaited === undefined ||
-      awaited.isNoted ||
-      now - awaited.firstAt < LATE_MILLISECONDS
+      awaited.isLogged ||
+      now - awaited.firstReportedAt < LATE_AFTER_MILLISECONDS
     ) {
       return [];
     }
-    awaited.isNoted = true;
-    const {firstAddress, firstAt, newest, tellers} = awaited;
+    awaited.isLogged = true;
+    const {firstAddress, firstReportedAt, newest, tellers} = awaited;
     return [
       note('configuration-late', String(newest), {
         inForce,
         firstTold: firstAddress,
-        milliseconds: Math.round(now - firstAt),
+        milliseconds: Math.round(now - firstReportedAt),
         tellers: tellers.size,
         questions: awaited.questions,
         unanswered: awaited.unanswered,
--- a/packages/fleet/src/weightedSpread.ts
+++ b/packages/fleet/src/weightedSpread.ts
@@ -1,13 +1,14 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Spreads the calls of a route over services, each by its weight. */
+/** Distributes the calls of a route over services by weight. */
 
 import type {RandomSource} from '@lockpin/types';
 import type {Destination} from './declaredConfiguration.js';
 
 /**
- * Smooth weighted round robin: any run of calls keeps the shares to within one
- * call, which dice would only do on average. The start is random, so that
- * entries that start together do not send their first calls to one place.
+ * Smooth weighted round robin: the shares of any run of calls are exact to
+ * within one call, while random choice meets them only on average. The starting
+ * point is random, so that entries that start together do not send their first
+ * calls to the same service.
  */
 export class WeightedSpread {
   private readonly credits: number[];
@@ -20,7 +21,7 @@
     this.total = destinations.reduce((sum, {weight}) => sum + weight, 0);
     this.credits = destinations.map(() => 0);
     const skipped = Math.floor(random() * this.total);
-    for (let i = 0; i < Math.min(skipped, MOST_SKIPPED); i += 1) {
+    for (let i = 0; i < Math.min(skipped, MAXIMUM_SKIPPED); i += 1) {
       this.next();
     }
   }
@@ -39,5 +40,7 @@
   }
 }
 
-/** Calls passed over at the start, at the most: a full turn of percentages. */
-const MOST_SKIPPED = 100;
+/**
+ * Maximum number of calls skipped at the start: a full cycle of percentages.
+ */
+const MAXIMUM_SKIPPED = 100;
