--- a/packages/brain/src/__tests__/__fixtures__/callWorld.ts
+++ b/packages/brain/src/__tests__/__fixtures__/callWorld.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** One caller's work on two entries, two guards and their upstreams, step by step. */
+/** Simulates one caller's requests on two entries, two guards and upstreams. */
 
 import {
   ConfigurationState,
@@ -20,7 +20,7 @@
 import {GuardBrain} from '../../guard/guardBrain.js';
 import type {GuardAction, GuardEvent} from '../../guard/guardMessages.js';
 
-/** What may go wrong at any step. */
+/** Faults that can be injected before any step. */
 export const CALL_FAULTS = [
   'upstream answers errors',
   'upstream hangs',
@@ -44,67 +44,68 @@
 /** One of the faults. */
 export type CallFault = (typeof CALL_FAULTS)[number];
 
-/** A fault and the step that it comes before. */
+/** A fault and the step before which it is injected. */
 export interface TimedFault {
   readonly fault: CallFault;
   readonly step: number;
 }
 
-/** What the caller was told of one request. */
+/** The result that the caller received for one request. */
 export interface Told {
   readonly request: string;
   readonly outcome: 'answered' | RefusalOutcome | 'cut';
-  /** The request that the answer belongs to. */
+  /** The execution that produced the answer. */
   readonly answerTo?: string;
 }
 
-interface Timed {
+interface ScheduledEvent {
   readonly at: number;
   readonly order: number;
   readonly run: () => void;
 }
 
 const SERVICE = 'c/s';
-const WAIT = 400;
-const HOP = 1;
-const WORK = 10;
-const PAUSE = 150;
+const WAIT_MILLISECONDS = 400;
+const LINK_DELAY_MILLISECONDS = 1;
+const EXECUTION_MILLISECONDS = 10;
+const PAUSE_MILLISECONDS = 150;
 
-/** Longer than any call may take. */
-const SUSPENSION = 60_000;
+/** Longer than the timeout of any call. */
+const SUSPENSION_MILLISECONDS = 60_000;
 
-/** What a clock is set by. */
-const CLOCK_STEP = 3_600_000;
-const REPEAT_AFTER = 20;
-const MOST_REPEATS = 3;
+/** Amount by which a clock is stepped. */
+const CLOCK_STEP_MILLISECONDS = 3_600_000;
+const REPEAT_DELAY_MILLISECONDS = 20;
+const MAXIMUM_REQUESTS = 3;
 
-/** Runs the work of one caller; a fault comes before a chosen step. */
+/** Runs the calls of one caller and injects faults before given steps. */
 export class CallWorld {
   readonly told: Told[] = [];
-  /** Requests in the order in which upstreams ran them. */
+  /** Attempts in the order in which upstreams ran them. */
   readonly executions: string[] = [];
   steps = 0;
   private now = 1_000_000;
   private order = 0;
-  private queue: Timed[] = [];
+  private queue: ScheduledEvent[] = [];
   private readonly random = seededRandom(2);
-  private readonly view: ServiceView = makeView();
+  private readonly view: ServiceView = createView();
   private readonly entries = new Map<string, EntryBrain>();
   private readonly guards = new Map<string, GuardBrain>();
   private readonly incarnations = new Map<string, number>();
   private readonly attempts = new Map<string, Attempt>();
   private readonly aborted = new Set<string>();
-  private readonly gone = new Set<string>();
-  private readonly key: string | undefined;
-  private sent = 0;
-  private attemptSerial = 0;
-  private upstream: 'well' | 'errors' | 'hangs' | 'refuses' | 'slow' = 'well';
-  private cutTo = false;
-  private cutFrom = false;
-  private pausedUntil = 0;
-  private entryWakesAt = 0;
-  /** How far the clock of the first guard is ahead. */
-  private guardAhead = 0;
+  private readonly closed = new Set<string>();
+  private readonly onceKey: string | undefined;
+  private requestCount = 0;
+  private attemptCount = 0;
+  private upstreamMode: 'well' | 'errors' | 'hangs' | 'refuses' | 'slow' =
+    'well';
+  private isLinkToGuardCut = false;
+  private isLinkFromGuardCut = false;
+  private guardPausedUntil = 0;
+  private entrySuspendedUntil = 0;
+  /** Milliseconds by which the clock of the first guard is ahead. */
+  private guardClockOffset = 0;
 
   constructor(
     isOnce: boolean,
@@ -116,19 +117,19 @@
     for (const box of ['e1', 'e2']) {
       this.startEntry(box);
     }
-    this.key = isOnce
+    this.onceKey = isOnce
       ? mintOnceKey(this.now, this.random, {box: 'g1', incarnation: '1'})
       : undefined;
   }
 
-  /** Runs until nothing is left to do. */
+  /** Runs until no event is scheduled. */
   run(): void {
-    this.send('e1', true);
-    for (let next = this.next(); next; next = this.next()) {
+    this.sendRequest('e1', true);
+    for (let next = this.nextEvent(); next; next = this.nextEvent()) {
       this.now = Math.max(this.now, next.at);
       for (const {fault, step} of this.faults) {
         if (step === this.steps) {
-          this.bring(fault);
+          this.injectFault(fault);
         }
       }
       this.steps += 1;
@@ -136,68 +137,68 @@
     }
   }
 
-  private next(): Timed | undefined {
+  private nextEvent(): ScheduledEvent | undefined {
     this.queue.sort((a, b) => a.at - b.at || a.order - b.order);
     return this.queue.shift();
   }
 
-  private later(delay: number, run: () => void): void {
+  private schedule(delay: number, run: () => void): void {
     this.order += 1;
     this.queue.push({at: this.now + delay, order: this.order, run});
   }
 
-  private bring(fault: CallFault): void {
+  private injectFault(fault: CallFault): void {
     switch (fault) {
       case 'upstream answers errors':
-        this.upstream = 'errors';
+        this.upstreamMode = 'errors';
         break;
       case 'upstream hangs':
-        this.upstream = 'hangs';
+        this.upstreamMode = 'hangs';
         break;
       case 'upstream refuses connections':
-        this.upstream = 'refuses';
+        this.upstreamMode = 'refuses';
         break;
       case 'upstream slows down tenfold':
-        this.upstream = 'slow';
+        this.upstreamMode = 'slow';
         break;
       case 'link to the guard is cut':
-        this.cutTo = true;
+        this.isLinkToGuardCut = true;
         break;
       case 'link from the guard is cut':
-        this.cutFrom = true;
+        this.isLinkFromGuardCut = true;
         break;
       case 'guard is replaced':
         this.replaceGuard('g1');
         break;
       case 'guard is paused':
-        this.pausedUntil = this.now + PAUSE;
+        this.guardPausedUntil = this.now + PAUSE_MILLISECONDS;
         break;
       case 'box of the guard is suspended':
-        this.pausedUntil = this.now + SUSPENSION;
+        this.guardPausedUntil = this.now + SUSPENSION_MILLISECONDS;
         break;
       case 'box of the entry is suspended':
-        this.entryWakesAt = this.now + SUSPENSION;
+        this.entrySuspendedUntil = this.now + SUSPENSION_MILLISECONDS;
         break;
       case 'clock of the guard is set back':
-        this.guardAhead = -CLOCK_STEP;
+        this.guardClockOffset = -CLOCK_STEP_MILLISECONDS;
         break;
       case 'clock of the guard is set forwards':
-        this.guardAhead = CLOCK_STEP;
+        this.guardClockOffset = CLOCK_STEP_MILLISECONDS;
         break;
       case 'entry is replaced':
         this.replaceEntry('e1');
         break;
       case 'upstream is drained':
-        this.tellGuard('g1', servicesOf('g1', 'draining'));
+        this.handleGuardEvent('g1', createServicesEvent('g1', 'draining'));
         break;
       case 'node leaves':
-        this.tellGuard('g1', {kind: 'leaving'});
+        this.handleGuardEvent('g1', {kind: 'leaving'});
         break;
       case 'caller leaves':
-        this.leave();
+        this.disconnectCaller();
         break;
       case 'caller repeats at once':
-        this.send('e2', false);
+        this.sendRequest('e2', false);
         break;
     }
   }
@@ -207,7 +208,7 @@
     this.incarnations.set(box, incarnation);
     const guard = new GuardBrain({box, incarnation: String(incarnation)});
     this.guards.set(box, guard);
-    guard.handle(this.now, this.random, servicesOf(box, 'in-service'));
+    guard.handle(this.now, this.random, createServicesEvent(box, 'in-service'));
   }
 
   private startEntry(box: string): void {
@@ -220,14 +221,14 @@
     );
   }
 
-  /** Connections to the process break; what its upstream runs goes on. */
+  /** Breaks connections to the old process; its upstream keeps running. */
   private replaceGuard(box: string): void {
     this.startGuard(box);
     for (const [id, attempt] of this.attempts) {
       if (attempt.box === box) {
         this.attempts.delete(id);
-        this.later(HOP, () =>
-          this.tellEntry(attempt.callId, {
+        this.schedule(LINK_DELAY_MILLISECONDS, () =>
+          this.sendToEntry(attempt.callId, {
             kind: 'attempt-lost',
             callId: attempt.callId,
             wasSent: true,
@@ -240,41 +241,41 @@
   private replaceEntry(box: string): void {
     this.startEntry(box);
     for (const id of this.openRequests(box)) {
-      this.gone.add(id);
-      this.tell({request: id, outcome: 'cut'});
+      this.closed.add(id);
+      this.recordResult({request: id, outcome: 'cut'});
     }
     for (const [id, attempt] of this.attempts) {
       if (attempt.callId.startsWith(`${box} `)) {
-        this.toGuard(attempt.box, {kind: 'call-cancelled', callId: id});
+        this.sendToGuard(attempt.box, {kind: 'call-cancelled', callId: id});
       }
     }
   }
 
   private openRequests(box: string): readonly string[] {
     const answered = new Set(this.told.map(({request}) => request));
-    return Array.from({length: this.sent}, (_, i) => i + 1)
+    return Array.from({length: this.requestCount}, (_, i) => i + 1)
       .flatMap((n) => [`e1 ${n}`, `e2 ${n}`])
       .filter((id) => id.startsWith(`${box} `) && this.isOpen(id, answered));
   }
 
   private isOpen(id: string, answered: ReadonlySet<string>): boolean {
-    return this.sentIds.has(id) && !answered.has(id) && !this.gone.has(id);
+    return this.sent.has(id) && !answered.has(id) && !this.closed.has(id);
   }
 
-  private readonly sentIds = new Set<string>();
+  private readonly sent = new Set<string>();
 
-  private leave(): void {
+  private disconnectCaller(): void {
     for (const id of [...this.openRequests('e1'), ...this.openRequests('e2')]) {
-      this.gone.add(id);
-      this.tellEntry(id, {kind: 'caller-left', callId: id});
+      this.closed.add(id);
+      this.sendToEntry(id, {kind: 'caller-left', callId: id});
     }
   }
 
-  private send(entry: string, isFirst: boolean): void {
-    this.sent += 1;
-    const id = `${entry} ${this.sent}`;
-    this.sentIds.add(id);
-    const isOnce = this.key !== undefined;
+  private sendRequest(entry: string, isFirst: boolean): void {
+    this.requestCount += 1;
+    const id = `${entry} ${this.requestCount}`;
+    this.sent.add(id);
+    const isOnce = this.onceKey !== undefined;
     const route = this.view.routes.find(
       ({spec}) => (spec.repetition === 'once-only') === isOnce,
     );
@@ -284,15 +285,17 @@
       route: route as EntryCall['route'],
       customer: 'c',
       bytes: 0,
-      deadline: this.now + WAIT,
-      onceKey: isOnce ? parseOnceKey(this.key ?? '') : undefined,
+      deadline: this.now + WAIT_MILLISECONDS,
+      onceKey: isOnce ? parseOnceKey(this.onceKey ?? '') : undefined,
       isFirstWithKey: isFirst,
       isReplayable: true,
       isCallersRetry: false,
     };
-    this.later(HOP, () => this.tellEntry(id, {kind: 'call-arrived', call}));
-    this.later(HOP + WAIT, () =>
-      this.tellEntry(id, {
+    this.schedule(LINK_DELAY_MILLISECONDS, () =>
+      this.sendToEntry(id, {kind: 'call-arrived', call}),
+    );
+    this.schedule(LINK_DELAY_MILLISECONDS + WAIT_MILLISECONDS, () =>
+      this.sendToEntry(id, {
         kind: 'given-up',
         callId: id,
         reason: 'deadline-passed',
@@ -301,39 +304,39 @@
     );
   }
 
-  /** Only the first entry is suspended. */
-  private tellEntry(id: string, event: EntryEvent): void {
-    const remaining = this.entryWakesAt - this.now;
+  /** Suspensions affect only the first entry. */
+  private sendToEntry(id: string, event: EntryEvent): void {
+    const remaining = this.entrySuspendedUntil - this.now;
     if (remaining > 0 && id.startsWith('e1 ')) {
-      this.later(remaining, () => this.tellEntry(id, event));
+      this.schedule(remaining, () => this.sendToEntry(id, event));
       return;
     }
     const entry = this.entries.get(id.split(' ')[0] ?? '');
     const actions = entry?.handle(this.now, this.random, event) ?? [];
-    actions.forEach((action) => this.performEntry(id, action));
+    actions.forEach((action) => this.performEntryAction(id, action));
   }
 
-  private performEntry(id: string, action: EntryAction): void {
+  private performEntryAction(id: string, action: EntryAction): void {
     switch (action.kind) {
       case 'attempt':
-        this.attempt(action.attempt);
+        this.sendAttempt(action.attempt);
         break;
       case 'refuse':
-        this.refused(id, action.refusal);
+        this.recordRefusal(id, action.refusal);
         break;
       case 'pass-answer':
       case 'pass-spare-answer':
-        this.tell({
+        this.recordResult({
           request: id,
           outcome: 'answered',
-          answerTo: this.answers.get(id) ?? '',
+          answerTo: this.answeringExecutions.get(id) ?? '',
         });
-        this.tellEntry(id, {kind: 'answer-ended', callId: id});
+        this.sendToEntry(id, {kind: 'answer-ended', callId: id});
         break;
       case 'cancel-attempt':
         for (const [attemptId, attempt] of this.attempts) {
           if (attempt.callId === id) {
-            this.toGuard(attempt.box, {
+            this.sendToGuard(attempt.box, {
               kind: 'call-cancelled',
               callId: attemptId,
             });
@@ -343,30 +346,37 @@
     }
   }
 
-  private readonly answers = new Map<string, string>();
+  private readonly answeringExecutions = new Map<string, string>();
 
-  private tell(told: Told): void {
-    if (this.gone.has(told.request) && told.outcome !== 'cut') {
+  private recordResult(result: Told): void {
+    if (this.closed.has(result.request) && result.outcome !== 'cut') {
       return;
     }
-    this.told.push(told);
-    const isOpen = told.outcome === 'unknown' || told.outcome === 'cut';
-    if (this.key !== undefined && isOpen && this.sent < MOST_REPEATS) {
-      this.later(REPEAT_AFTER, () => this.send('e2', false));
+    this.told.push(result);
+    const isUndetermined =
+      result.outcome === 'unknown' || result.outcome === 'cut';
+    if (
+      this.onceKey !== undefined &&
+      isUndetermined &&
+      this.requestCount < MAXIMUM_REQUESTS
+    ) {
+      this.schedule(REPEAT_DELAY_MILLISECONDS, () =>
+        this.sendRequest('e2', false),
+      );
     }
   }
 
-  private refused(id: string, {outcome}: Refusal): void {
-    this.tell({request: id, outcome});
+  private recordRefusal(id: string, {outcome}: Refusal): void {
+    this.recordResult({request: id, outcome});
   }
 
-  private attempt(attempt: Attempt): void {
-    this.attemptSerial += 1;
+  private sendAttempt(attempt: Attempt): void {
+    this.attemptCount += 1;
     const {call} = attempt;
-    const id = `${attempt.callId} ${this.attemptSerial}`;
+    const id = `${attempt.callId} ${this.attemptCount}`;
     this.attempts.set(id, attempt);
     const remaining = call.deadline - this.now - 5;
-    this.toGuard(attempt.box, {
+    this.sendToGuard(attempt.box, {
       kind: 'call-offered',
       call: {
         id,
@@ -384,42 +394,49 @@
         requestDigest: 'd',
       },
     });
-    this.later(remaining, () =>
-      this.tellGuard(attempt.box, {kind: 'call-deadline-passed', callId: id}),
+    this.schedule(remaining, () =>
+      this.handleGuardEvent(attempt.box, {
+        kind: 'call-deadline-passed',
+        callId: id,
+      }),
     );
   }
 
   private guardClock(box: string): number {
-    return this.now + (box === 'g1' ? this.guardAhead : 0);
+    return this.now + (box === 'g1' ? this.guardClockOffset : 0);
   }
 
-  /** Only the first guard's links are cut, and only it is paused. */
-  private toGuard(box: string, event: GuardEvent): void {
-    if (this.cutTo && box === 'g1') {
+  /** Cut links and pauses affect only the first guard. */
+  private sendToGuard(box: string, event: GuardEvent): void {
+    if (this.isLinkToGuardCut && box === 'g1') {
       return;
     }
-    this.later(HOP, () => this.tellGuard(box, event));
+    this.schedule(LINK_DELAY_MILLISECONDS, () =>
+      this.handleGuardEvent(box, event),
+    );
   }
 
-  private tellGuard(box: string, event: GuardEvent): void {
-    if (box === 'g1' && this.now < this.pausedUntil) {
-      this.later(this.pausedUntil - this.now, () => this.tellGuard(box, event));
+  private handleGuardEvent(box: string, event: GuardEvent): void {
+    if (box === 'g1' && this.now < this.guardPausedUntil) {
+      this.schedule(this.guardPausedUntil - this.now, () =>
+        this.handleGuardEvent(box, event),
+      );
       return;
     }
     const guard = this.guards.get(box);
     const now = this.guardClock(box);
     const actions = guard?.handle(now, this.random, event) ?? [];
-    actions.forEach((action) => this.performGuard(box, action));
+    actions.forEach((action) => this.performGuardAction(box, action));
   }
 
-  private performGuard(box: string, action: GuardAction): void {
+  private performGuardAction(box: string, action: GuardAction): void {
     switch (action.kind) {
       case 'run':
         this.execute(box, action.callId);
         break;
       case 'refuse': {
         const {refusal, upstream, hint} = action;
-        this.reply(box, action.callId, (callId) => ({
+        this.sendReply(box, action.callId, (callId) => ({
           kind: 'attempt-refused',
           callId,
           refusal,
@@ -429,8 +446,8 @@
         break;
       }
       case 'answer-stored': {
-        const answerTo = Buffer.from(action.answer.body).toString();
-        this.replyAnswer(box, action.callId, 200, answerTo);
+        const executionId = Buffer.from(action.answer.body).toString();
+        this.sendAnswer(box, action.callId, 200, executionId);
         break;
       }
       case 'abort':
@@ -440,10 +457,10 @@
   }
 
   private execute(box: string, id: string): void {
-    const {upstream} = this;
-    if (upstream === 'refuses' && box === 'g1') {
-      this.later(HOP, () =>
-        this.tellGuard(box, {
+    const {upstreamMode} = this;
+    if (upstreamMode === 'refuses' && box === 'g1') {
+      this.schedule(LINK_DELAY_MILLISECONDS, () =>
+        this.handleGuardEvent(box, {
           kind: 'upstream-failed',
           callId: id,
           wasSent: false,
@@ -453,36 +470,39 @@
     }
     this.executions.push(id);
     const guard = this.guards.get(box);
-    const isSick = box === 'g1';
-    if (upstream === 'hangs' && isSick) {
+    const isFaulty = box === 'g1';
+    if (upstreamMode === 'hangs' && isFaulty) {
       return;
     }
-    const status = upstream === 'errors' && isSick ? 500 : 200;
-    const work = upstream === 'slow' && isSick ? WORK * 10 : WORK;
-    this.later(work, () => {
+    const status = upstreamMode === 'errors' && isFaulty ? 500 : 200;
+    const duration =
+      upstreamMode === 'slow' && isFaulty
+        ? EXECUTION_MILLISECONDS * 10
+        : EXECUTION_MILLISECONDS;
+    this.schedule(duration, () => {
       if (this.guards.get(box) !== guard || this.aborted.has(id)) {
         return;
       }
       const answer = {status, headers: {}, body: Buffer.from(id)};
-      this.tellGuard(box, {
+      this.handleGuardEvent(box, {
         kind: 'upstream-answered',
         callId: id,
         status,
         isShed: false,
         answer,
       });
-      this.replyAnswer(box, id, status, id);
+      this.sendAnswer(box, id, status, id);
     });
   }
 
-  private replyAnswer(
+  private sendAnswer(
     box: string,
     id: string,
     status: number,
-    answerTo: string,
+    executionId: string,
   ): void {
-    this.reply(box, id, (callId) => {
-      this.answers.set(callId, answerTo);
+    this.sendReply(box, id, (callId) => {
+      this.answeringExecutions.set(callId, executionId);
       return {
         kind: 'attempt-answered',
         callId,
@@ -493,24 +513,27 @@
     });
   }
 
-  private reply(
+  private sendReply(
     box: string,
     id: string,
     event: (callId: string) => EntryEvent,
   ): void {
     const attempt = this.attempts.get(id);
-    if (attempt === undefined || (this.cutFrom && box === 'g1')) {
+    if (attempt === undefined || (this.isLinkFromGuardCut && box === 'g1')) {
       return;
     }
     this.attempts.delete(id);
-    this.later(HOP, () =>
-      this.tellEntry(attempt.callId, event(attempt.callId)),
+    this.schedule(LINK_DELAY_MILLISECONDS, () =>
+      this.sendToEntry(attempt.callId, event(attempt.callId)),
     );
   }
 }
 
-function servicesOf(box: string, state: 'in-service' | 'draining'): GuardEvent {
-  const upstreams = makeView()
+function createServicesEvent(
+  box: string,
+  state: 'in-service' | 'draining',
+): GuardEvent {
+  const upstreams = createView()
     .upstreams.filter(({spec}) => spec.box === box)
     .map((upstream) => ({...upstream, spec: {...upstream.spec, state}}));
   return {
@@ -519,12 +542,12 @@
   };
 }
 
-function makeView(): ServiceView {
+function createView(): ServiceView {
   const route = (name: string, repetition: string) =>
     createWrite('Route', `${SERVICE}/${name}`, {
       pathPrefix: `/${name}`,
       repetition,
-      waitMilliseconds: WAIT,
+      waitMilliseconds: WAIT_MILLISECONDS,
     });
   const upstream = (box: string, port: number) =>
     createWrite('Upstream', `${SERVICE}/${box}`, {
@@ -548,7 +571,7 @@
   });
   const view = state.service(SERVICE);
   if (view === undefined) {
-    throw new Error('the service was refused');
+    throw new Error('the service was not created');
   }
   return view;
 }
--- a/packages/brain/src/__tests__/__fixtures__/controlWorld.ts
+++ b/packages/brain/src/__tests__/__fixtures__/controlWorld.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Control brains on a virtual clock, with a small fake log between them. */
+/** Simulates control planes of nodes on a virtual clock with a fake log. */
 
 import {makeIncarnation} from '@lockpin/once';
 import {seededRandom} from '@lockpin/utils';
@@ -15,28 +15,28 @@
   StreamName,
 } from '../../control/controlMessages.js';
 
-/** Records of a stream, with when each came. */
+/** Records of a stream and the time at which each was appended. */
 export interface FakeStream {
   first: number;
   readonly records: unknown[];
   readonly times: number[];
 }
 
-/** How the fake log behaves. */
+/** State and faults of the fake log. */
 export interface FakeLog {
   isAway: boolean;
-  /** Appends take effect, and their answer is lost. */
+  /** Appends take effect, but their responses are lost. */
   losesConfirmations: boolean;
-  /** Appends are cut before they take effect, and look the same. */
+  /** Appends are lost before they take effect; callers see no difference. */
   losesAppends: boolean;
-  /** Milliseconds that each answer takes besides. */
+  /** Additional delay of each response. */
   slowMilliseconds: number;
-  /** Rises with each restore. */
+  /** Incremented with each restore. */
   era: number;
   readonly streams: Record<StreamName, FakeStream>;
 }
 
-/** One node of the world. */
+/** One simulated node. */
 export interface WorldNode {
   readonly box: string;
   readonly dataCentre: string;
@@ -45,16 +45,16 @@
   readonly timeline: string[];
 }
 
-interface Timed {
+interface ScheduledEvent {
   readonly at: number;
   readonly order: number;
   readonly run: () => void;
 }
 
-const TICK = 100;
-const DELAY = 2;
+const TICK_MILLISECONDS = 100;
+const DELAY_MILLISECONDS = 2;
 
-/** Runs brains and carries out what they decide. */
+/** Runs the nodes and performs their actions. */
 export class ControlWorld {
   now = 1_000_000;
   readonly nodes: WorldNode[] = [];
@@ -71,12 +71,12 @@
       snapshots: {first: 0, records: [], times: []},
     },
   };
-  /** Whether what one box sends reaches another. */
+  /** Whether messages of one box reach another. */
   reaches: (from: string, to: string) => boolean = () => true;
   /** Whether a box can read the log and append to it. */
   usesLog: (box: string) => boolean = () => true;
   private readonly random;
-  private queue: Timed[] = [];
+  private queue: ScheduledEvent[] = [];
   private order = 0;
 
   constructor(
@@ -86,23 +86,23 @@
     this.random = seededRandom(seed);
   }
 
-  /** Starts a node, or starts it anew with empty memory. */
+  /** Starts a node, or restarts it with empty memory. */
   start(box: string, dataCentre: string): WorldNode {
-    const known = this.nodes.find((node) => node.box === box);
-    const node = known ?? {
+    const existing = this.nodes.find((node) => node.box === box);
+    const node = existing ?? {
       box,
       dataCentre,
-      brain: this.makeBrain(box, dataCentre),
+      brain: this.createStateMachine(box, dataCentre),
       isUp: true,
       timeline: [],
     };
-    if (known === undefined) {
+    if (existing === undefined) {
       this.nodes.push(node);
     }
-    node.brain = this.makeBrain(box, dataCentre);
+    node.brain = this.createStateMachine(box, dataCentre);
     node.isUp = true;
-    const {brain} = node;
-    this.tickAgain(node, brain);
+    const {brain: stateMachine} = node;
+    this.tickPeriodically(node, stateMachine);
     const boxes = this.nodes.map((other) => ({
       box: other.box,
       dataCentre: other.dataCentre,
@@ -110,7 +110,7 @@
       peerAddress: other.box,
     }));
     this.nodes.forEach((other) =>
-      this.tell(other, {kind: 'boxes-listed', boxes}),
+      this.handleEvent(other, {kind: 'boxes-listed', boxes}),
     );
     return node;
   }
@@ -126,10 +126,10 @@
       author: 'test',
       writes: [{operation: 'put', kind: 'Customer', name, basedOn, spec: {}}],
     };
-    this.tell(node, {kind: 'change-offered', change});
+    this.handleEvent(node, {kind: 'change-offered', change});
   }
 
-  /** Lets time pass. */
+  /** Advances the clock. */
   run(milliseconds: number): void {
     const end = this.now + milliseconds;
     for (;;) {
@@ -145,11 +145,11 @@
     this.now = end;
   }
 
-  /** Lets time pass until the condition holds; false when it never does. */
-  runUntil(condition: () => boolean, most = 60_000): boolean {
-    const end = this.now + most;
+  /** Advances the clock until a condition holds; returns false on a timeout. */
+  runUntil(condition: () => boolean, maximumMilliseconds = 60_000): boolean {
+    const end = this.now + maximumMilliseconds;
     while (!condition() && this.now < end) {
-      this.run(TICK);
+      this.run(TICK_MILLISECONDS);
     }
     return condition();
   }
@@ -157,19 +157,23 @@
   isEverywhere(version: number): boolean {
     return this.nodes
       .filter(({isUp}) => isUp)
-      .every(({brain}) => brain.isReady && brain.keeper.version >= version);
+      .every(
+        ({brain: stateMachine}) =>
+          stateMachine.isReady && stateMachine.keeper.version >= version,
+      );
   }
 
   digests(): ReadonlySet<string> {
     const up = this.nodes.filter(({isUp}) => isUp);
     return new Set(
       up.map(
-        ({brain}) => `${brain.keeper.version} ${brain.keeper.state.digest}`,
+        ({brain: stateMachine}) =>
+          `${stateMachine.keeper.version} ${stateMachine.keeper.state.digest}`,
       ),
     );
   }
 
-  private makeBrain(box: string, dataCentre: string): ControlBrain {
+  private createStateMachine(box: string, dataCentre: string): ControlBrain {
     return new ControlBrain(
       {
         box,
@@ -183,60 +187,74 @@
     );
   }
 
-  private at(delay: number, run: () => void): void {
+  private schedule(delay: number, run: () => void): void {
     this.order += 1;
     this.queue.push({at: this.now + delay, order: this.order, run});
   }
 
-  private tickAgain(node: WorldNode, brain: ControlBrain): void {
-    if (node.brain !== brain || !node.isUp) {
+  private tickPeriodically(node: WorldNode, stateMachine: ControlBrain): void {
+    if (node.brain !== stateMachine || !node.isUp) {
       return;
     }
-    this.tell(node, {kind: 'tick'});
-    this.at(TICK, () => this.tickAgain(node, brain));
+    this.handleEvent(node, {kind: 'tick'});
+    this.schedule(TICK_MILLISECONDS, () =>
+      this.tickPeriodically(node, stateMachine),
+    );
   }
 
-  private tell(node: WorldNode, event: ControlEvent): void {
+  private handleEvent(node: WorldNode, event: ControlEvent): void {
     if (!node.isUp) {
       return;
     }
     const actions = node.brain.handle(this.now, this.random, event);
-    actions.forEach((action) => this.perform(node, action));
+    actions.forEach((action) => this.performAction(node, action));
   }
 
-  private perform(node: WorldNode, action: ControlAction): void {
-    const {brain} = node;
-    const tellLater = (event: ControlEvent, delay = DELAY): void =>
-      this.at(delay, () => {
-        if (node.brain === brain) {
-          this.tell(node, event);
+  private performAction(node: WorldNode, action: ControlAction): void {
+    const {brain: stateMachine} = node;
+    const scheduleEvent = (
+      event: ControlEvent,
+      delay = DELAY_MILLISECONDS,
+    ): void =>
+      this.schedule(delay, () => {
+        if (node.brain === stateMachine) {
+          this.handleEvent(node, event);
         }
       });
     switch (action.kind) {
       case 'send':
         this.deliver(node.box, action.address, (to) =>
-          this.tell(to, {kind: 'datagram-received', datagram: action.datagram}),
+          this.handleEvent(to, {
+            kind: 'datagram-received',
+            datagram: action.datagram,
+          }),
         );
         break;
       case 'read-log': {
         const {stream, from} = action;
-        const result = this.read(node.box, stream, from);
+        const result = this.readLog(node.box, stream, from);
         const isEmpty =
           result.kind === 'records' && result.records.length === 0;
         const delay = isEmpty ? Math.min(500, action.waitMilliseconds) : 0;
-        const slow = this.log.slowMilliseconds;
-        tellLater({kind: 'log-read', stream, result}, delay + DELAY + slow);
+        const extraDelay = this.log.slowMilliseconds;
+        scheduleEvent(
+          {kind: 'log-read', stream, result},
+          delay + DELAY_MILLISECONDS + extraDelay,
+        );
         break;
       }
       case 'append': {
-        const result = this.append(node.box, action.stream, action.value);
+        const result = this.appendToLog(node.box, action.stream, action.value);
         const {token} = action;
-        const slow = this.log.slowMilliseconds;
-        tellLater({kind: 'append-ended', token, result}, DELAY + slow);
+        const extraDelay = this.log.slowMilliseconds;
+        scheduleEvent(
+          {kind: 'append-ended', token, result},
+          DELAY_MILLISECONDS + extraDelay,
+        );
         break;
       }
       case 'exchange':
-        this.exchange(node, action, tellLater);
+        this.exchange(node, action, scheduleEvent);
         break;
       case 'change-settled':
         this.settlements.set(action.changeId, action.settlement);
@@ -250,18 +268,18 @@
   private deliver(
     from: string,
     to: string,
-    act: (to: WorldNode) => void,
+    handle: (to: WorldNode) => void,
   ): void {
     const target = this.nodes.find(({box}) => box === to);
     if (target?.isUp && this.reaches(from, to)) {
-      this.at(DELAY, () => act(target));
+      this.schedule(DELAY_MILLISECONDS, () => handle(target));
     }
   }
 
   private exchange(
     node: WorldNode,
     {token, address, request}: ControlAction & {readonly kind: 'exchange'},
-    tellLater: (event: ControlEvent, delay?: number) => void,
+    scheduleEvent: (event: ControlEvent, delay?: number) => void,
   ): void {
     const target = this.nodes.find(({box}) => box === address);
     const isOpen =
@@ -269,7 +287,7 @@
       this.reaches(node.box, address) &&
       this.reaches(address, node.box);
     if (!target || !isOpen) {
-      tellLater({kind: 'exchange-ended', token, reply: undefined}, 500);
+      scheduleEvent({kind: 'exchange-ended', token, reply: undefined}, 500);
       return;
     }
     const [reply] = target.brain.handle(this.now, this.random, {
@@ -278,11 +296,15 @@
       request,
     });
     if (reply?.kind === 'reply') {
-      tellLater({kind: 'exchange-ended', token, reply: reply.reply});
+      scheduleEvent({kind: 'exchange-ended', token, reply: reply.reply});
     }
   }
 
-  private read(box: string, stream: StreamName, from: number): LogReadResult {
+  private readLog(
+    box: string,
+    stream: StreamName,
+    from: number,
+  ): LogReadResult {
     const {first, records} = this.log.streams[stream];
     if (this.log.isAway || !this.usesLog(box)) {
       return {kind: 'unreachable'};
@@ -303,7 +325,7 @@
     };
   }
 
-  private append(
+  private appendToLog(
     box: string,
     stream: StreamName,
     value: unknown,
@@ -326,7 +348,7 @@
         };
   }
 
-  /** The log comes back as it was at a time; all of its streams do. */
+  /** Restores all streams of the log to their state at a given time. */
   restoreLogTo(until: number): void {
     this.log.era += 1;
     for (const {records, times} of Object.values(this.log.streams)) {
@@ -336,19 +358,19 @@
     }
   }
 
-  /** Another writer appends, past all nodes. */
+  /** Appends a record as another writer would, without any node. */
   appendPastNodes(stream: StreamName, value: unknown): void {
     const {records, times} = this.log.streams[stream];
     records.push(structuredClone(value));
     times.push(this.now);
   }
 
-  /** The log forgets all but the newest records of a stream. */
-  retain(stream: StreamName, most: number): void {
-    const kept = this.log.streams[stream];
-    const excess = Math.max(0, kept.records.length - most);
-    kept.records.splice(0, excess);
-    kept.times.splice(0, excess);
-    kept.first += excess;
+  /** Removes all but the newest records of a stream. */
+  retain(stream: StreamName, maximumRecords: number): void {
+    const target = this.log.streams[stream];
+    const excess = Math.max(0, target.records.length - maximumRecords);
+    target.records.splice(0, excess);
+    target.times.splice(0, excess);
+    target.first += excess;
   }
 }
--- a/packages/brain/src/__tests__/__fixtures__/floorWorld.ts
+++ b/packages/brain/src/__tests__/__fixtures__/floorWorld.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Guards and permit holders whose messages can be held back, doubled and lost. */
+/** Simulates guards and permit holders with late, repeated or lost messages. */
 
 import {NO_FENCE, PermitHolder} from '@lockpin/floor';
 import type {Fence, GuardReport, HolderReply} from '@lockpin/floor';
@@ -8,13 +8,13 @@
 import {GuardBrain} from '../../guard/guardBrain.js';
 import type {GuardAction, GuardEvent} from '../../guard/guardMessages.js';
 
-/** The one service of the world. */
+/** Name of the only service. */
 export const SERVICE = 'customer/service';
 
-/** Its upstreams, of one slot each. */
+/** Number of its upstreams, with one slot each. */
 export const UPSTREAMS = 6;
 
-/** One thing that may happen. */
+/** A step of the simulation. */
 export type Step =
   | {readonly kind: 'sicken' | 'heal'; readonly guard: number}
   | {readonly kind: 'tick'; readonly milliseconds: number}
@@ -33,7 +33,7 @@
       readonly logIsAway: boolean;
     };
 
-/** A message under way. */
+/** A message in transit. */
 export type Message =
   | {
       readonly kind: 'report';
@@ -47,7 +47,7 @@
       readonly reply: HolderReply;
     };
 
-function upstream(i: number): Resource<'Upstream'> {
+function createUpstream(i: number): Resource<'Upstream'> {
   return {
     kind: 'Upstream',
     name: `${SERVICE}/upstream-${i}`,
@@ -63,19 +63,19 @@
   };
 }
 
-/** Guards and holders that exchange messages which the steps may hold back. */
+/** Runs guards and holders whose messages are delivered by steps. */
 export class FloorWorld {
   now = 1_000_000;
   readonly holders: PermitHolder[] = [];
   readonly guards: GuardBrain[] = [];
   readonly messages: Message[] = [];
   private readonly incarnations: number[] = [];
-  /** Of each holder, in the order in which they came. */
+  /** The fence of each holder, oldest first. */
   private readonly fences: Fence[] = [];
-  /** Where the next claim will stand in the log. */
-  private next: Fence = {era: 1, offset: 0};
+  /** Position of the next claim in the log. */
+  private nextFence: Fence = {era: 1, offset: 0};
   private readonly random = seededRandom(1);
-  private calls = 0;
+  private callCount = 0;
 
   constructor(private readonly floorSlots: number) {
     this.newHolder();
@@ -101,7 +101,7 @@
         break;
       case 'tick':
         this.now += step.milliseconds;
-        this.guards.forEach((_, i) => this.tell(i, {kind: 'tick'}));
+        this.guards.forEach((_, i) => this.handleGuardEvent(i, {kind: 'tick'}));
         break;
       case 'deliver':
         this.deliver(step.message, step.again);
@@ -130,15 +130,15 @@
   }
 
   newHolder(): void {
-    const fence = this.next;
+    const fence = this.nextFence;
     this.fences.push(fence);
-    this.next = {...fence, offset: fence.offset + 1};
+    this.nextFence = {...fence, offset: fence.offset + 1};
     this.holders.push(
       new PermitHolder(fence, {
         floorSlots: this.floorSlots,
         settleMilliseconds: 0,
         upstreams: Array.from({length: UPSTREAMS}, (_, i) => ({
-          name: upstream(i).name,
+          name: createUpstream(i).name,
           slots: 1,
           inService: true,
         })),
@@ -146,41 +146,44 @@
     );
   }
 
-  startGuard(i: number, logIsAway: boolean): void {
+  startGuard(i: number, isLogUnavailable: boolean): void {
     this.incarnations[i] = (this.incarnations[i] ?? 0) + 1;
     const incarnation = String(this.incarnations[i]).padStart(4, '0');
     this.guards[i] = new GuardBrain({box: `box-${i}`, incarnation});
-    this.tell(i, {
+    this.handleGuardEvent(i, {
       kind: 'services-changed',
       services: [
-        {name: SERVICE, sensitivity: 'fast', upstreams: [upstream(i)]},
+        {name: SERVICE, sensitivity: 'fast', upstreams: [createUpstream(i)]},
       ],
     });
-    if (!logIsAway) {
+    if (!isLogUnavailable) {
       this.learnFence(i);
-      this.tell(i, {kind: 'holders-read'});
+      this.handleGuardEvent(i, {kind: 'holders-read'});
     }
   }
 
-  /** The newest fence, unless another is given: what a lagging peer tells. */
+  /** Sends the latest fence, or an older one as a lagging peer would. */
   learnFence(i: number, holder = this.holders.length): void {
     const fence = this.fences[holder - 1] ?? NO_FENCE;
-    this.tell(i, {kind: 'fence-learnt', service: SERVICE, fence});
+    this.handleGuardEvent(i, {kind: 'fence-learnt', service: SERVICE, fence});
   }
 
-  /** The log comes back as it was: offsets of fences are given out again. */
+  /** Restores an older copy of the log, so that offsets are assigned again. */
   restoreLog(lost: number): void {
-    const {era, offset} = this.next;
-    this.next = {era: era + 1, offset: Math.max(0, offset - lost)};
+    const {era, offset} = this.nextFence;
+    this.nextFence = {era: era + 1, offset: Math.max(0, offset - lost)};
   }
 
   callMany(i: number, status: number, count = 40): void {
     for (let n = 0; n < count; n += 1) {
-      this.calls += 1;
-      const id = String(this.calls);
+      this.callCount += 1;
+      const id = String(this.callCount);
       this.now += 5;
-      this.tell(i, {kind: 'call-offered', call: call(id, i, this.now)});
-      this.tell(i, {
+      this.handleGuardEvent(i, {
+        kind: 'call-offered',
+        call: createCall(id, i, this.now),
+      });
+      this.handleGuardEvent(i, {
         kind: 'upstream-answered',
         callId: id,
         status,
@@ -190,44 +193,48 @@
     }
   }
 
-  private tell(i: number, event: GuardEvent): void {
+  private handleGuardEvent(i: number, event: GuardEvent): void {
     const guard = this.guards[i] as GuardBrain;
     const actions = guard.handle(this.now, this.random, event);
-    actions.forEach((action) => this.take(i, action));
+    actions.forEach((action) => this.performAction(i, action));
   }
 
-  /** A guard may still believe in any holder there ever was. */
-  private take(guard: number, action: GuardAction): void {
+  /** Sends reports to any holder, since a guard may still know an old one. */
+  private performAction(guard: number, action: GuardAction): void {
     if (action.kind !== 'report') {
       return;
     }
     for (const report of action.reports) {
-      const newest = this.holders.length - 1;
+      const latest = this.holders.length - 1;
       const holder =
         this.random() < 0.7
-          ? newest
+          ? latest
           : Math.floor(this.random() * this.holders.length);
       this.messages.push({kind: 'report', guard, holder, report});
     }
   }
 
-  /** Mostly one of the latest messages, now and then a much delayed one. */
-  private deliver(index: number, again: boolean): void {
+  /** Delivers one of the latest messages or, less often, a much older one. */
+  private deliver(index: number, isDuplicated: boolean): void {
     const count = this.messages.length;
     if (count > 0) {
       const fromEnd = index < 30 ? index % Math.min(6, count) : index % count;
-      this.deliverAt(count - 1 - fromEnd, again);
+      this.deliverAt(count - 1 - fromEnd, isDuplicated);
     }
   }
 
-  deliverAt(at: number, again: boolean): void {
+  deliverAt(at: number, isDuplicated: boolean): void {
     const message = this.messages[at] as Message;
-    if (!again) {
+    if (!isDuplicated) {
       this.messages.splice(at, 1);
     }
     if (message.kind === 'reply') {
       const {guard, reply} = message;
-      this.tell(guard, {kind: 'holder-replied', service: SERVICE, reply});
+      this.handleGuardEvent(guard, {
+        kind: 'holder-replied',
+        service: SERVICE,
+        reply,
+      });
       return;
     }
     const {guard, holder, report} = message;
@@ -238,11 +245,11 @@
   }
 }
 
-function call(id: string, i: number, now: number) {
+function createCall(id: string, i: number, now: number) {
   return {
     id,
     service: SERVICE,
-    upstream: upstream(i).name,
+    upstream: createUpstream(i).name,
     customer: 'customer',
     weight: 1,
     route: 'route',
--- a/packages/brain/src/__tests__/__fixtures__/guardWorld.ts
+++ b/packages/brain/src/__tests__/__fixtures__/guardWorld.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** One guard with one upstream, told of events by hand. */
+/** Test harness for one guard with one upstream. */
 
 import {PAID_ELSEWHERE} from '@lockpin/routing';
 import type {RetryAllowance} from '@lockpin/routing';
@@ -9,11 +9,13 @@
 import {DEFAULT_GUARD_SETTINGS} from '../../guard/guardMessages.js';
 import type {GuardAction, GuardCall} from '../../guard/guardMessages.js';
 
+/** Name of the service. */
 export const SERVICE = 's';
+/** Name of its upstream. */
 export const UPSTREAM = 's/box';
 const random = seededRandom(1);
 
-/** The guard and its time. */
+/** Passes events to one guard at a given time. */
 export class GuardWorld {
   now = 0;
   constructor(
@@ -35,7 +37,7 @@
   }
 
   configure(
-    change: Partial<Resource<'Upstream'>['spec']>,
+    overrides: Partial<Resource<'Upstream'>['spec']>,
   ): readonly GuardAction[] {
     const upstream: Resource<'Upstream'> = {
       kind: 'Upstream',
@@ -49,7 +51,7 @@
         connections: 9,
         state: 'in-service',
         incarnation: {id: 'i-1', startedAt: 0},
-        ...change,
+        ...overrides,
       },
     };
     return this.tell({
@@ -64,7 +66,10 @@
       .filter(({kind}) => kind !== 'report');
   }
 
-  offer(id: string, change: Partial<GuardCall> = {}): readonly GuardAction[] {
+  offer(
+    id: string,
+    overrides: Partial<GuardCall> = {},
+  ): readonly GuardAction[] {
     const call: GuardCall = {
       id,
       service: SERVICE,
@@ -80,12 +85,12 @@
       onceKey: undefined,
       requestDigest: '',
       needsGo: true,
-      ...change,
+      ...overrides,
     };
     return this.tell({kind: 'call-offered', call});
   }
 
-  /** Runs one call to its end. */
+  /** Offers a call and answers it with a status. */
   run(id: string, status: number): void {
     this.offer(id, {needsGo: false});
     this.tell({
@@ -98,7 +103,7 @@
   }
 }
 
-/** The reasons and outcomes of refusals. */
+/** Returns the reason and outcome of each refusal. */
 export const reasonOf = (actions: readonly GuardAction[]) =>
   actions.flatMap((action) =>
     action.kind === 'refuse'
--- a/packages/brain/src/__tests__/callFaults.test.ts
+++ b/packages/brain/src/__tests__/callFaults.test.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Every fault at every step of a call. */
+/** Injects every fault, and pairs of faults, at the steps of a call. */
 
 import {describe, expect, it} from 'vitest';
 import {CALL_FAULTS, CallWorld} from './__fixtures__/callWorld.js';
@@ -7,62 +7,65 @@
 
 const KINDS = ['repeatable', 'once-only'] as const;
 
-/** Steps beyond this come after the call has ended and its deadline passed. */
-const MOST_STEPS = 60;
+/** Later steps come after the call has ended and its deadline has passed. */
+const MAXIMUM_STEPS = 60;
 
-/** Two faults come within the steps of a call that goes well. */
+/** Pairs of faults are injected within the steps of a successful call. */
 const PAIR_STEPS = 14;
 
-function play(
+function runWithFaults(
   kind: (typeof KINDS)[number],
   faults: readonly TimedFault[],
 ): CallWorld {
-  const world = new CallWorld(kind === 'once-only', faults);
-  world.run();
-  return world;
+  const simulation = new CallWorld(kind === 'once-only', faults);
+  simulation.run();
+  return simulation;
 }
 
-/** The request an execution or an answer belongs to: its entry and number. */
+/** Returns the request of an execution: its entry and number. */
 function requestOf(execution: string): string {
   return execution.split(' ').slice(0, 2).join(' ');
 }
 
-function check(world: CallWorld, kind: (typeof KINDS)[number]): void {
-  const ran = new Set(world.executions.map(requestOf));
-  const requests = world.told.map(({request}) => request);
+function checkResults(
+  simulation: CallWorld,
+  kind: (typeof KINDS)[number],
+): void {
+  const ran = new Set(simulation.executions.map(requestOf));
+  const requests = simulation.told.map(({request}) => request);
   expect(new Set(requests).size).toBe(requests.length);
-  for (const {request, outcome, answerTo} of world.told) {
+  for (const {request, outcome, answerTo: executionId} of simulation.told) {
     if (outcome === 'not-run') {
       expect(ran.has(request)).toBe(false);
     }
     if (outcome === 'answered' && kind === 'repeatable') {
-      expect(requestOf(answerTo ?? '')).toBe(request);
+      expect(requestOf(executionId ?? '')).toBe(request);
     }
     if (outcome === 'answered') {
-      expect(ran.has(requestOf(answerTo ?? ''))).toBe(true);
+      expect(ran.has(requestOf(executionId ?? ''))).toBe(true);
     }
   }
   if (kind === 'once-only') {
-    expect(world.executions.length).toBeLessThanOrEqual(1);
+    expect(simulation.executions.length).toBeLessThanOrEqual(1);
   }
 }
 
 describe.each(KINDS)('a %s call', (kind) => {
-  it('is answered when nothing goes wrong', () => {
-    const world = play(kind, []);
-    expect(world.told).toMatchObject([{outcome: 'answered'}]);
-    expect(world.executions).toHaveLength(1);
+  it('is answered without faults', () => {
+    const simulation = runWithFaults(kind, []);
+    expect(simulation.told).toMatchObject([{outcome: 'answered'}]);
+    expect(simulation.executions).toHaveLength(1);
   });
 
   it.each(CALL_FAULTS)('stays true when %s, at every step', (fault) => {
-    let most = 0;
-    for (let step = 0; step < MOST_STEPS; step += 1) {
-      const world = play(kind, [{fault, step}]);
-      check(world, kind);
-      most = Math.max(most, world.steps);
+    let maximumSteps = 0;
+    for (let step = 0; step < MAXIMUM_STEPS; step += 1) {
+      const simulation = runWithFaults(kind, [{fault, step}]);
+      checkResults(simulation, kind);
+      maximumSteps = Math.max(maximumSteps, simulation.steps);
     }
-    // The fault came before, during and after the call.
-    expect(most).toBeGreaterThan(5);
+    // The fault was injected before, during and after the call.
+    expect(maximumSteps).toBeGreaterThan(5);
   });
 
   it.each(CALL_FAULTS)(
@@ -75,18 +78,20 @@
               {fault, step},
               {fault: other, step: next},
             ];
-            check(play(kind, faults), kind);
+            checkResults(runWithFaults(kind, faults), kind);
           }
         }
       }
     },
   );
 
-  it.each(CALL_FAULTS)('ends for its caller when %s', (fault) => {
-    for (let step = 0; step < MOST_STEPS; step += 1) {
-      const world = play(kind, [{fault, step}]);
-      const isLeft = fault === 'caller leaves';
-      expect(world.told.length + (isLeft ? 1 : 0)).toBeGreaterThan(0);
+  it.each(CALL_FAULTS)('returns a result to its caller when %s', (fault) => {
+    for (let step = 0; step < MAXIMUM_STEPS; step += 1) {
+      const simulation = runWithFaults(kind, [{fault, step}]);
+      const hasCallerLeft = fault === 'caller leaves';
+      expect(simulation.told.length + (hasCallerLeft ? 1 : 0)).toBeGreaterThan(
+        0,
+      );
     }
   });
 });
--- a/packages/brain/src/__tests__/changeFaults.test.ts
+++ b/packages/brain/src/__tests__/changeFaults.test.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Every fault at every step of a change of configuration, and of a restart. */
+/** Injects every fault at each step of a configuration change or a restart. */
 
 import {describe, expect, it} from 'vitest';
 import {ControlWorld} from './__fixtures__/controlWorld.js';
@@ -8,24 +8,24 @@
 const SETTINGS = {snapshots: {everyRecords: 4, everyMilliseconds: 3_600_000}};
 const NODES = 5;
 
-/** Milliseconds between the moments at which a fault is brought. */
-const STEP = 40;
+/** Time between the steps at which a fault is injected. */
+const STEP_MILLISECONDS = 40;
 const STEPS = 30;
 
-/** How long a fault lasts before it is over. */
+/** Duration of a fault. */
 const FAULT_MILLISECONDS = 4000;
 
 interface Fault {
   readonly name: string;
-  readonly begin: (world: ControlWorld) => void;
-  readonly end: (world: ControlWorld) => void;
+  readonly begin: (simulation: ControlWorld) => void;
+  readonly end: (simulation: ControlWorld) => void;
 }
 
-const isFirst = (box: string): boolean => box === 'box-0';
+const isPublisher = (box: string): boolean => box === 'box-0';
 
 const FAULTS: readonly Fault[] = [
   {
-    name: 'the log is away',
+    name: 'the log is unavailable',
     begin: ({log}) => void (log.isAway = true),
     end: ({log}) => void (log.isAway = false),
   },
@@ -40,99 +40,108 @@
     end: ({log}) => void (log.losesConfirmations = false),
   },
   {
-    name: 'appends vanish',
+    name: 'appends are lost',
     begin: ({log}) => void (log.losesAppends = true),
     end: ({log}) => void (log.losesAppends = false),
   },
   {
-    name: 'the log forgets all but three records',
-    begin: (world) => world.retain('configuration', 3),
+    name: 'the log retains only three records',
+    begin: (simulation) => simulation.retain('configuration', 3),
     end: () => undefined,
   },
   {
     name: 'the publishing node is replaced',
-    begin: (world) => void world.start('box-0', 'data-centre-0'),
+    begin: (simulation) => void simulation.start('box-0', 'data-centre-0'),
     end: () => undefined,
   },
   {
     name: 'another node is replaced',
-    begin: (world) => void world.start('box-3', 'data-centre-1'),
+    begin: (simulation) => void simulation.start('box-3', 'data-centre-1'),
     end: () => undefined,
   },
   {
-    name: 'the publishing node reaches nobody',
-    begin: (world) =>
-      void (world.reaches = (from, to) => !isFirst(from) && !isFirst(to)),
-    end: (world) => void (world.reaches = () => true),
+    name: 'the publishing node is isolated',
+    begin: (simulation) =>
+      void (simulation.reaches = (from, to) =>
+        !isPublisher(from) && !isPublisher(to)),
+    end: (simulation) => void (simulation.reaches = () => true),
   },
   {
-    name: 'the publishing node hears nobody',
-    begin: (world) => void (world.reaches = (_from, to) => !isFirst(to)),
-    end: (world) => void (world.reaches = () => true),
+    name: 'the publishing node receives no messages',
+    begin: (simulation) =>
+      void (simulation.reaches = (_from, to) => !isPublisher(to)),
+    end: (simulation) => void (simulation.reaches = () => true),
   },
   {
     name: 'only one node reaches the log',
-    begin: (world) => void (world.usesLog = (box) => box === 'box-1'),
-    end: (world) => void (world.usesLog = () => true),
+    begin: (simulation) => void (simulation.usesLog = (box) => box === 'box-1'),
+    end: (simulation) => void (simulation.usesLog = () => true),
   },
   {
     name: 'a data centre is lost',
-    begin: (world) =>
-      world.nodes
+    begin: (simulation) =>
+      simulation.nodes
         .filter(({dataCentre}) => dataCentre === 'data-centre-1')
-        .forEach((node) => world.stop(node)),
-    end: (world) =>
-      world.nodes
+        .forEach((node) => simulation.stop(node)),
+    end: (simulation) =>
+      simulation.nodes
         .filter(({isUp}) => !isUp)
-        .forEach(({box, dataCentre}) => void world.start(box, dataCentre)),
+        .forEach(({box, dataCentre}) => void simulation.start(box, dataCentre)),
   },
 ];
 
-function node(world: ControlWorld, i: number): WorldNode {
-  return world.nodes[i] as WorldNode;
+function nodeAt(simulation: ControlWorld, i: number): WorldNode {
+  return simulation.nodes[i] as WorldNode;
 }
 
-function startWorld(): ControlWorld {
-  const world = new ControlWorld(4, SETTINGS);
+function startSimulation(): ControlWorld {
+  const simulation = new ControlWorld(4, SETTINGS);
   for (let i = 0; i < NODES; i += 1) {
-    world.start(`box-${i}`, `data-centre-${i % 2}`);
+    simulation.start(`box-${i}`, `data-centre-${i % 2}`);
   }
   expect(
-    world.runUntil(() => world.nodes.every(({brain}) => brain.isReady)),
+    simulation.runUntil(() =>
+      simulation.nodes.every(({brain: stateMachine}) => stateMachine.isReady),
+    ),
   ).toBe(true);
   for (let i = 0; i < 3; i += 1) {
-    world.publish(node(world, 0), `base-${i}`, `base-${i}`);
-    expect(world.runUntil(() => world.settlements.has(`base-${i}`))).toBe(true);
+    simulation.publish(nodeAt(simulation, 0), `base-${i}`, `base-${i}`);
+    expect(
+      simulation.runUntil(() => simulation.settlements.has(`base-${i}`)),
+    ).toBe(true);
   }
-  expect(world.runUntil(() => world.isEverywhere(3))).toBe(true);
-  return world;
+  expect(simulation.runUntil(() => simulation.isEverywhere(3))).toBe(true);
+  return simulation;
 }
 
-/** Brings one fault at one moment of a session and lets it pass. */
-function play(fault: Fault, step: number): ControlWorld {
-  const world = startWorld();
-  world.publish(node(world, 0), 'one', 'customer-one');
-  world.run(step * STEP);
-  fault.begin(world);
-  world.publish(node(world, 2), 'two', 'customer-two');
-  world.run(FAULT_MILLISECONDS);
-  fault.end(world);
-  world.run(20_000);
-  return world;
+/** Publishes two changes around the start of a fault, then ends the fault. */
+function runWithFault(fault: Fault, step: number): ControlWorld {
+  const simulation = startSimulation();
+  simulation.publish(nodeAt(simulation, 0), 'one', 'customer-one');
+  simulation.run(step * STEP_MILLISECONDS);
+  fault.begin(simulation);
+  simulation.publish(nodeAt(simulation, 2), 'two', 'customer-two');
+  simulation.run(FAULT_MILLISECONDS);
+  fault.end(simulation);
+  simulation.run(20_000);
+  return simulation;
 }
 
-/** What is in the log once all is over is in force everywhere, and nothing else. */
-function check(world: ControlWorld): void {
-  const {first, records} = world.log.streams.configuration;
+/** Checks that all nodes have what is in the log in force, and nothing else. */
+function checkConsistency(simulation: ControlWorld): void {
+  const {first, records} = simulation.log.streams.configuration;
   const version = first + records.length;
-  expect(world.runUntil(() => world.isEverywhere(version))).toBe(true);
-  expect(world.digests().size).toBe(1);
-  for (const [changeId, settlement] of world.settlements) {
+  expect(simulation.runUntil(() => simulation.isEverywhere(version))).toBe(
+    true,
+  );
+  expect(simulation.digests().size).toBe(1);
+  for (const [changeId, settlement] of simulation.settlements) {
     const name = changeId.startsWith('base')
       ? changeId
       : `customer-${changeId}`;
-    const isThere = world.nodes.map(
-      ({brain}) => brain.keeper.state.get('Customer', name) !== undefined,
+    const isPresent = simulation.nodes.map(
+      ({brain: stateMachine}) =>
+        stateMachine.keeper.state.get('Customer', name) !== undefined,
     );
     const isAccepted =
       settlement.kind === 'outcome' && settlement.outcome.kind === 'accepted';
@@ -141,36 +150,36 @@
       settlement.failure.kind === 'log-unavailable' &&
       settlement.failure.outcome === 'not-published';
     if (isAccepted) {
-      expect(isThere).toEqual(isThere.map(() => true));
+      expect(isPresent).toEqual(isPresent.map(() => true));
     }
     if (isNotPublished) {
-      expect(isThere).toEqual(isThere.map(() => false));
+      expect(isPresent).toEqual(isPresent.map(() => false));
     }
   }
 }
 
-describe('a change of configuration', () => {
+describe('a configuration change', () => {
   it.each(FAULTS)('is kept or refused truthfully when $name', (fault) => {
     for (let step = 0; step < STEPS; step += 1) {
-      check(play(fault, step));
+      checkConsistency(runWithFault(fault, step));
     }
   });
 
   it('is kept or refused truthfully when two faults come at once', () => {
     for (const [i, one] of FAULTS.entries()) {
       for (const other of FAULTS.slice(i + 1)) {
-        const both: Fault = {
+        const combined: Fault = {
           name: `${one.name}, ${other.name}`,
-          begin: (world) => {
-            one.begin(world);
-            other.begin(world);
+          begin: (simulation) => {
+            one.begin(simulation);
+            other.begin(simulation);
           },
-          end: (world) => {
-            one.end(world);
-            other.end(world);
+          end: (simulation) => {
+            one.end(simulation);
+            other.end(simulation);
           },
         };
-        check(play(both, 3));
+        checkConsistency(runWithFault(combined, 3));
       }
     }
   });
@@ -179,25 +188,25 @@
 describe('a restart', () => {
   it.each(FAULTS)('comes to the same state when $name', (fault) => {
     for (let step = 0; step < STEPS; step += 1) {
-      const world = startWorld();
-      world.run(30_000);
-      world.start('box-4', 'data-centre-0');
-      world.run(step * STEP);
-      fault.begin(world);
-      world.run(FAULT_MILLISECONDS);
-      fault.end(world);
-      world.run(20_000);
-      check(world);
+      const simulation = startSimulation();
+      simulation.run(30_000);
+      simulation.start('box-4', 'data-centre-0');
+      simulation.run(step * STEP_MILLISECONDS);
+      fault.begin(simulation);
+      simulation.run(FAULT_MILLISECONDS);
+      fault.end(simulation);
+      simulation.run(20_000);
+      checkConsistency(simulation);
     }
   });
 
-  it('never serves a version older than it had in force', () => {
+  it('never serves a version older than the one in force before', () => {
     for (let step = 0; step < STEPS; step += 1) {
-      const world = startWorld();
-      const restarted = world.start('box-4', 'data-centre-0');
-      world.run(step * STEP);
-      world.log.isAway = true;
-      world.run(10_000);
+      const simulation = startSimulation();
+      const restarted = simulation.start('box-4', 'data-centre-0');
+      simulation.run(step * STEP_MILLISECONDS);
+      simulation.log.isAway = true;
+      simulation.run(10_000);
       if (restarted.brain.isReady) {
         expect(restarted.brain.keeper.version).toBe(3);
       }
--- a/packages/brain/src/__tests__/crashedUpstreams.test.ts
+++ b/packages/brain/src/__tests__/crashedUpstreams.test.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Upstreams whose processes end, start again, or are ended by a request. */
+/** Tests upstreams whose processes exit, restart, or crash on a request. */
 
 import {describe, expect, it} from 'vitest';
 import {GuardBrain} from '../guard/guardBrain.js';
@@ -7,30 +7,30 @@
 import type {GuardAction} from '../guard/guardMessages.js';
 import {GuardWorld, UPSTREAM, reasonOf} from './__fixtures__/guardWorld.js';
 
-describe('an upstream that starts again under its id', () => {
+describe('an upstream restarted under the same id', () => {
   function restarted(): {
-    readonly world: GuardWorld;
+    readonly harness: GuardWorld;
     readonly actions: readonly GuardAction[];
   } {
-    const world = new GuardWorld(2);
-    world.configure({
+    const harness = new GuardWorld(2);
+    harness.configure({
       slots: 2,
       incarnation: {id: 'i-1', startedAt: 100},
     });
-    world.offer('sent', {needsGo: false, requestDigest: 'digest'});
-    world.tell({
+    harness.offer('sent', {needsGo: false, requestDigest: 'digest'});
+    harness.tell({
       kind: 'upstream-answered',
       callId: 'sent',
       status: 200,
       isShed: false,
       answer: undefined,
     });
-    world.offer('running', {needsGo: false, requestDigest: 'digest'});
-    world.offer('reserved');
-    world.offer('waiting', {mayWait: true});
+    harness.offer('running', {needsGo: false, requestDigest: 'digest'});
+    harness.offer('reserved');
+    harness.offer('waiting', {mayWait: true});
     return {
-      world,
-      actions: world.configure({
+      harness,
+      actions: harness.configure({
         slots: 2,
         incarnation: {id: 'i-1', startedAt: 200},
       }),
@@ -47,7 +47,7 @@
     expect(actions).toContainEqual({kind: 'abort', callId: 'running'});
   });
 
-  it('was ended by what ran there, and entries hear how its successor stands', () => {
+  it('reports what ran in the crashed process and the state of its successor', () => {
     const {actions} = restarted();
     expect(actions).toContainEqual(
       expect.objectContaining({
@@ -63,10 +63,10 @@
     );
   });
 
-  it('has all its slots, and late answers to its predecessor change nothing', () => {
-    const {world} = restarted();
+  it('has all slots free and ignores late answers to its predecessor', () => {
+    const {harness} = restarted();
     expect(
-      world.tell({
+      harness.tell({
         kind: 'upstream-answered',
         callId: 'running',
         status: 200,
@@ -74,60 +74,60 @@
         answer: undefined,
       }),
     ).toEqual([]);
-    expect(world.offer('1')).toEqual([{kind: 'reserve', callId: '1'}]);
-    expect(world.offer('2')).toEqual([{kind: 'reserve', callId: '2'}]);
+    expect(harness.offer('1')).toEqual([{kind: 'reserve', callId: '1'}]);
+    expect(harness.offer('2')).toEqual([{kind: 'reserve', callId: '2'}]);
   });
 
-  it('leaves calls alone whose upstream drains beside another id', () => {
-    const world = new GuardWorld(2);
-    world.configure({
+  it('keeps the running calls if the new process has another id', () => {
+    const harness = new GuardWorld(2);
+    harness.configure({
       slots: 2,
       incarnation: {id: 'i-1', startedAt: 100},
     });
-    world.offer('running', {needsGo: false});
-    const actions = world.configure({
+    harness.offer('running', {needsGo: false});
+    const actions = harness.configure({
       incarnation: {id: 'i-2', startedAt: 200},
     });
     expect(reasonOf(actions)).toEqual([]);
   });
 });
 
-describe('an upstream whose process ends', () => {
-  function broken(world: GuardWorld): readonly GuardAction[] {
-    world.offer('1', {needsGo: false, requestDigest: 'digest'});
-    return world.tell({kind: 'upstream-failed', callId: '1', wasSent: true});
+describe('an upstream whose process exits', () => {
+  function breakCall(harness: GuardWorld): readonly GuardAction[] {
+    harness.offer('1', {needsGo: false, requestDigest: 'digest'});
+    return harness.tell({kind: 'upstream-failed', callId: '1', wasSent: true});
   }
 
-  function lookedAt(world: GuardWorld, presence: 'there' | 'gone') {
-    return world.tell({
+  function finishCheck(harness: GuardWorld, addressState: 'there' | 'gone') {
+    return harness.tell({
       kind: 'upstream-looked-at',
       upstream: UPSTREAM,
       incarnation: {id: 'i-1', startedAt: 0},
-      presence,
+      presence: addressState,
     });
   }
 
-  it('is looked at when a call breaks, and tells what ran when nobody is there', () => {
-    const world = new GuardWorld();
-    expect(broken(world)).toContainEqual(
+  it('is checked when a call breaks, and reports what ran if it is gone', () => {
+    const harness = new GuardWorld();
+    expect(breakCall(harness)).toContainEqual(
       expect.objectContaining({kind: 'look-at-upstream'}),
     );
-    expect(lookedAt(world, 'gone')).toEqual([
+    expect(finishCheck(harness, 'gone')).toEqual([
       {kind: 'upstream-crashed', upstream: UPSTREAM, digests: ['digest']},
     ]);
   });
 
-  it('has not ended when somebody is there', () => {
-    const world = new GuardWorld();
-    broken(world);
-    expect(lookedAt(world, 'there')).toEqual([]);
+  it('is not reported as crashed while its address is listening', () => {
+    const harness = new GuardWorld();
+    breakCall(harness);
+    expect(finishCheck(harness, 'there')).toEqual([]);
   });
 
-  it('is let go when it drains: what it breaks then has no part in its end', () => {
-    const world = new GuardWorld();
-    world.offer('1', {needsGo: false, requestDigest: 'digest'});
-    world.configure({state: 'draining'});
-    const actions = world.tell({
+  it('is not checked when a call breaks while it drains', () => {
+    const harness = new GuardWorld();
+    harness.offer('1', {needsGo: false, requestDigest: 'digest'});
+    harness.configure({state: 'draining'});
+    const actions = harness.tell({
       kind: 'upstream-failed',
       callId: '1',
       wasSent: true,
@@ -137,7 +137,7 @@
 });
 
 describe('a request in quarantine', () => {
-  it('is refused with the time that is left when its slot is taken up', () => {
+  it('is refused at the go signal with the remaining quarantine time', () => {
     const guard = new GuardBrain(
       {box: 'box', incarnation: 'a'},
       {
@@ -145,10 +145,10 @@
         quarantinedFor: (_now, digest) => (digest === 'bad' ? 5000 : 0),
       },
     );
-    const world = new GuardWorld(1, undefined, undefined, guard);
-    world.configure({});
-    expect(world.offer('1')).toEqual([{kind: 'reserve', callId: '1'}]);
-    const refused = world.tell({
+    const harness = new GuardWorld(1, undefined, undefined, guard);
+    harness.configure({});
+    expect(harness.offer('1')).toEqual([{kind: 'reserve', callId: '1'}]);
+    const refused = harness.tell({
       kind: 'call-go',
       callId: '1',
       requestDigest: 'bad',
@@ -163,9 +163,9 @@
         },
       },
     ]);
-    world.offer('2');
+    harness.offer('2');
     expect(
-      world.tell({kind: 'call-go', callId: '2', requestDigest: 'good'}),
+      harness.tell({kind: 'call-go', callId: '2', requestDigest: 'good'}),
     ).toMatchObject([{kind: 'run', callId: '2'}]);
   });
 });
--- a/packages/brain/src/__tests__/entryTellsTheTruth.test.ts
+++ b/packages/brain/src/__tests__/entryTellsTheTruth.test.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Every call at an entry ends once, and not-run only when it is certain. */
+/** Tests that an entry ends each call once, with not-run only when certain. */
 
 import fc from 'fast-check';
 import {describe, expect, it} from 'vitest';
@@ -52,9 +52,9 @@
   fc.record({kind: fc.constantFrom('deadline' as const, 'left' as const)}),
 );
 
-const service = serviceView();
+const service = createServiceView();
 
-function serviceView() {
+function createServiceView() {
   const state = new ConfigurationState();
   foldChange(state, {
     offset: 0,
@@ -88,12 +88,12 @@
   });
   const view = state.service('c/s');
   if (view === undefined) {
-    throw new Error('the service was not made');
+    throw new Error('the service was not created');
   }
   return view;
 }
 
-function entryCall(
+function createCall(
   isOnce: boolean,
   isReplayable: boolean,
   isFirst: boolean,
@@ -120,7 +120,12 @@
   const callId = 'call';
   switch (next.kind) {
     case 'answered':
-      return {kind: 'attempt-answered', callId, ...pick(next), hint: undefined};
+      return {
+        kind: 'attempt-answered',
+        callId,
+        ...answerFields(next),
+        hint: undefined,
+      };
     case 'refused': {
       const {reason, outcome} = next;
       const refusal = {reason, outcome, retryAfterMilliseconds: 0};
@@ -146,12 +151,12 @@
   }
 }
 
-function pick({status, isWhole}: Reply & {readonly kind: 'answered'}) {
+function answerFields({status, isWhole}: Reply & {readonly kind: 'answered'}) {
   return {status, isWhole};
 }
 
 describe('an entry', () => {
-  it('ends every call once and says not-run only when it is certain', () => {
+  it('ends every call once and reports not-run only when it is certain', () => {
     fc.assert(
       fc.property(
         fc.boolean(),
@@ -159,26 +164,26 @@
         fc.boolean(),
         fc.array(reply, {minLength: 12, maxLength: 12}),
         (isOnce, isReplayable, isFirst, replies) => {
-          const brain = new EntryBrain('box-9', 'one', {
+          const entry = new EntryBrain('box-9', 'one', {
             isUsable: () => true,
             incarnation: () => 'a',
           });
-          const call = entryCall(isOnce, isReplayable, isFirst);
-          let actions = brain.handle(1000, seededRandom(5), {
+          const call = createCall(isOnce, isReplayable, isFirst);
+          let actions = entry.handle(1000, seededRandom(5), {
             kind: 'call-arrived',
             call,
           });
           let mayHaveRun = isOnce && !isFirst;
           let attempts = 0;
-          let ends = 0;
-          const tried: string[] = [];
+          let endCount = 0;
+          const triedTargets: string[] = [];
           for (const next of replies) {
             const attempt = lastAttempt(actions);
             if (attempt === undefined) {
               break;
             }
             attempts += 1;
-            tried.push(attempt.upstream ?? attempt.box);
+            triedTargets.push(attempt.upstream ?? attempt.box);
             mayHaveRun ||= couldRun(next, isOnce);
             if (
               next.kind === 'refused' &&
@@ -187,14 +192,14 @@
             ) {
               mayHaveRun = false;
             }
-            actions = brain.handle(
+            actions = entry.handle(
               1001,
               seededRandom(6),
-              eventFor(next, tried.at(-1) ?? ''),
+              eventFor(next, triedTargets.at(-1) ?? ''),
             );
-            ends += actions.filter(isEnd).length;
+            endCount += actions.filter(isEnd).length;
             if (next.kind === 'left') {
-              ends += 1;
+              endCount += 1;
             }
             const refusal = actions.find(({kind}) => kind === 'refuse');
             if (
@@ -204,16 +209,16 @@
               expect(mayHaveRun).toBe(false);
             }
           }
-          expect(ends).toBe(1);
-          expect(new Set(tried).size).toBe(tried.length);
+          expect(endCount).toBe(1);
+          expect(new Set(triedTargets).size).toBe(triedTargets.length);
           if (isOnce) {
             expect(attempts).toBe(1);
           }
-          brain.handle(1002, seededRandom(7), {
+          entry.handle(1002, seededRandom(7), {
             kind: 'answer-ended',
             callId: 'call',
           });
-          expect(brain.callCount).toBe(0);
+          expect(entry.callCount).toBe(0);
         },
       ),
       {numRuns: 2000, seed: 3},
--- a/packages/brain/src/__tests__/floorIsKept.test.ts
+++ b/packages/brain/src/__tests__/floorIsKept.test.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Ejection spares the floor, whatever happens to messages, holders and guards. */
+/** Tests that ejections keep the floor under faults of messages and nodes. */
 
 import fc from 'fast-check';
 import {describe, expect, it} from 'vitest';
@@ -69,19 +69,23 @@
 
 describe('the floor', () => {
   it('holds at every step of any interleaving', () => {
-    let mostEjected = 0;
-    let atFloor = 0;
+    let maximumEjected = 0;
+    let stepsAtFloor = 0;
     fc.assert(
       fc.property(
         fc.integer({min: 1, max: UPSTREAMS - 1}),
         fc.array(step, {minLength: 30, maxLength: 150}),
         (floorSlots, steps) => {
-          const world = new FloorWorld(floorSlots);
+          const simulation = new FloorWorld(floorSlots);
           for (const next of steps) {
-            world.run(next);
-            atFloor += world.ejectedCount() === UPSTREAMS - floorSlots ? 1 : 0;
-            mostEjected = Math.max(mostEjected, world.ejectedCount());
-            expect(world.ejectedCount()).toBeLessThanOrEqual(
+            simulation.run(next);
+            stepsAtFloor +=
+              simulation.ejectedCount() === UPSTREAMS - floorSlots ? 1 : 0;
+            maximumEjected = Math.max(
+              maximumEjected,
+              simulation.ejectedCount(),
+            );
+            expect(simulation.ejectedCount()).toBeLessThanOrEqual(
               UPSTREAMS - floorSlots,
             );
           }
@@ -89,13 +93,13 @@
       ),
       {numRuns: 800, seed: 7},
     );
-    // Without ejections the property would say nothing.
-    expect(mostEjected).toBeGreaterThan(2);
-    expect(atFloor).toBeGreaterThan(1000);
+    // The property is vacuous unless upstreams are ejected.
+    expect(maximumEjected).toBeGreaterThan(2);
+    expect(stepsAtFloor).toBeGreaterThan(1000);
   });
 });
 
-describe('the floor of a fleet whose log is restored', () => {
+describe('the floor after the log is restored', () => {
   const stepOrRestore = fc.oneof(
     {weight: 50, arbitrary: step},
     {
@@ -112,17 +116,20 @@
   );
 
   it('holds though offsets of claims are given out again', () => {
-    let mostEjected = 0;
+    let maximumEjected = 0;
     fc.assert(
       fc.property(
         fc.integer({min: 1, max: UPSTREAMS - 1}),
         fc.array(stepOrRestore, {minLength: 30, maxLength: 150}),
         (floorSlots, steps) => {
-          const world = new FloorWorld(floorSlots);
+          const simulation = new FloorWorld(floorSlots);
           for (const next of steps) {
-            world.run(next);
-            mostEjected = Math.max(mostEjected, world.ejectedCount());
-            expect(world.ejectedCount()).toBeLessThanOrEqual(
+            simulation.run(next);
+            maximumEjected = Math.max(
+              maximumEjected,
+              simulation.ejectedCount(),
+            );
+            expect(simulation.ejectedCount()).toBeLessThanOrEqual(
               UPSTREAMS - floorSlots,
             );
           }
@@ -130,151 +137,155 @@
       ),
       {numRuns: 800, seed: 11},
     );
-    expect(mostEjected).toBeGreaterThan(2);
+    expect(maximumEjected).toBeGreaterThan(2);
   });
 });
 
-/** Takes the newest report of a guard out of what is under way. */
-function takeReport(world: FloorWorld, guard: number): Message {
-  const at = world.messages.findLastIndex(
+/** Removes the latest report of a guard from the messages in transit. */
+function takeReport(simulation: FloorWorld, guard: number): Message {
+  const at = simulation.messages.findLastIndex(
     (message) => message.kind === 'report' && message.guard === guard,
   );
-  const [message] = world.messages.splice(at, 1);
+  const [message] = simulation.messages.splice(at, 1);
   if (message === undefined) {
     throw new Error(`guard ${guard} has sent no report`);
   }
   return message;
 }
 
-/** Lets a holder answer a report; the reply is handed back, not delivered. */
-function answerOf(
-  world: FloorWorld,
+/** Passes a report to a holder and returns its reply without delivering it. */
+function replyOf(
+  simulation: FloorWorld,
   message: Message,
   holder: number,
 ): Message {
   if (message.kind !== 'report') {
-    throw new Error('only a report is answered');
+    throw new Error('expected a report');
   }
   const {guard, report} = message;
-  const reply = world.holders[holder]?.report(world.now, report);
+  const reply = simulation.holders[holder]?.report(simulation.now, report);
   if (reply === undefined) {
-    throw new Error(`there is no holder ${holder}`);
+    throw new Error(`holder ${holder} does not exist`);
   }
   return {kind: 'reply', guard, reply};
 }
 
-function deliver(world: FloorWorld, message: Message): void {
-  world.messages.push(message);
-  world.deliverAt(world.messages.length - 1, false);
+function deliver(simulation: FloorWorld, message: Message): void {
+  simulation.messages.push(message);
+  simulation.deliverAt(simulation.messages.length - 1, false);
 }
 
-/** All guards report and hear the answer of one holder. */
-function acknowledge(world: FloorWorld, holder: number): void {
+/** Lets all guards report to one holder and delivers its replies. */
+function reportToHolder(simulation: FloorWorld, holder: number): void {
   for (let i = 0; i < UPSTREAMS; i += 1) {
-    world.learnFence(i);
+    simulation.learnFence(i);
   }
-  world.messages.length = 0;
-  world.run({kind: 'tick', milliseconds: 3000});
+  simulation.messages.length = 0;
+  simulation.run({kind: 'tick', milliseconds: 3000});
   for (let i = 0; i < UPSTREAMS; i += 1) {
-    deliver(world, answerOf(world, takeReport(world, i), holder));
+    deliver(simulation, replyOf(simulation, takeReport(simulation, i), holder));
   }
 }
 
-function eject(world: FloorWorld, guard: number, holder: number): Message {
-  world.callMany(guard, 500);
-  return answerOf(world, takeReport(world, guard), holder);
+function requestEjection(
+  simulation: FloorWorld,
+  guard: number,
+  holder: number,
+): Message {
+  simulation.callMany(guard, 500);
+  return replyOf(simulation, takeReport(simulation, guard), holder);
 }
 
 describe('a permit', () => {
   it('of a paused holder is not taken once a later fence is known', () => {
-    const world = new FloorWorld(UPSTREAMS - 1);
-    acknowledge(world, 0);
-    const late = eject(world, 0, 0);
-    world.newHolder();
-    acknowledge(world, 1);
-    deliver(world, eject(world, 1, 1));
-    expect(world.ejectedCount()).toBe(1);
-    deliver(world, late);
-    expect(world.ejectedCount()).toBe(1);
+    const simulation = new FloorWorld(UPSTREAMS - 1);
+    reportToHolder(simulation, 0);
+    const lateReply = requestEjection(simulation, 0, 0);
+    simulation.newHolder();
+    reportToHolder(simulation, 1);
+    deliver(simulation, requestEjection(simulation, 1, 1));
+    expect(simulation.ejectedCount()).toBe(1);
+    deliver(simulation, lateReply);
+    expect(simulation.ejectedCount()).toBe(1);
   });
 
   it('is not taken once the log was restored and another has its offset', () => {
-    const world = new FloorWorld(UPSTREAMS - 1);
-    acknowledge(world, 0);
-    const late = eject(world, 0, 0);
-    world.restoreLog(1);
-    world.newHolder();
-    acknowledge(world, 1);
-    deliver(world, eject(world, 1, 1));
-    expect(world.ejectedCount()).toBe(1);
-    deliver(world, late);
-    expect(world.ejectedCount()).toBe(1);
+    const simulation = new FloorWorld(UPSTREAMS - 1);
+    reportToHolder(simulation, 0);
+    const lateReply = requestEjection(simulation, 0, 0);
+    simulation.restoreLog(1);
+    simulation.newHolder();
+    reportToHolder(simulation, 1);
+    deliver(simulation, requestEjection(simulation, 1, 1));
+    expect(simulation.ejectedCount()).toBe(1);
+    deliver(simulation, lateReply);
+    expect(simulation.ejectedCount()).toBe(1);
   });
 
-  it('is not given by a new holder before all guards know its fence', () => {
-    const world = new FloorWorld(UPSTREAMS - 1);
-    acknowledge(world, 0);
-    world.newHolder();
+  it('is not granted by a new holder before all guards know its fence', () => {
+    const simulation = new FloorWorld(UPSTREAMS - 1);
+    reportToHolder(simulation, 0);
+    simulation.newHolder();
     for (let i = 0; i < UPSTREAMS - 1; i += 1) {
-      world.learnFence(i);
+      simulation.learnFence(i);
     }
-    world.run({kind: 'tick', milliseconds: 3000});
+    simulation.run({kind: 'tick', milliseconds: 3000});
     for (let i = 0; i < UPSTREAMS; i += 1) {
-      deliver(world, answerOf(world, takeReport(world, i), 1));
+      deliver(simulation, replyOf(simulation, takeReport(simulation, i), 1));
     }
-    deliver(world, eject(world, 0, 1));
-    expect(world.ejectedCount()).toBe(0);
+    deliver(simulation, requestEjection(simulation, 0, 1));
+    expect(simulation.ejectedCount()).toBe(0);
   });
 
   it('is not taken by a restarted guard that has not read the holders', () => {
-    const world = new FloorWorld(UPSTREAMS - 1);
-    acknowledge(world, 0);
-    world.newHolder();
-    acknowledge(world, 1);
-    deliver(world, eject(world, 1, 1));
-    world.startGuard(0, true);
-    world.learnFence(0, 1);
-    const permit = eject(world, 0, 0);
+    const simulation = new FloorWorld(UPSTREAMS - 1);
+    reportToHolder(simulation, 0);
+    simulation.newHolder();
+    reportToHolder(simulation, 1);
+    deliver(simulation, requestEjection(simulation, 1, 1));
+    simulation.startGuard(0, true);
+    simulation.learnFence(0, 1);
+    const permit = requestEjection(simulation, 0, 0);
     expect(permit).toMatchObject({reply: {decision: {kind: 'granted'}}});
-    deliver(world, permit);
-    expect(world.ejectedCount()).toBe(1);
+    deliver(simulation, permit);
+    expect(simulation.ejectedCount()).toBe(1);
   });
 
-  it('for a request that was taken back is not taken for the next', () => {
-    const world = new FloorWorld(UPSTREAMS - 1);
-    acknowledge(world, 0);
-    const late = eject(world, 0, 0);
-    world.callMany(0, 200, 300);
-    acknowledge(world, 0);
-    expect(world.ejectedCount()).toBe(0);
-    deliver(world, eject(world, 1, 0));
-    expect(world.ejectedCount()).toBe(1);
-    world.callMany(0, 500);
-    deliver(world, late);
-    expect(world.ejectedCount()).toBe(1);
+  it('for a withdrawn request is not accepted for the next one', () => {
+    const simulation = new FloorWorld(UPSTREAMS - 1);
+    reportToHolder(simulation, 0);
+    const lateReply = requestEjection(simulation, 0, 0);
+    simulation.callMany(0, 200, 300);
+    reportToHolder(simulation, 0);
+    expect(simulation.ejectedCount()).toBe(0);
+    deliver(simulation, requestEjection(simulation, 1, 0));
+    expect(simulation.ejectedCount()).toBe(1);
+    simulation.callMany(0, 500);
+    deliver(simulation, lateReply);
+    expect(simulation.ejectedCount()).toBe(1);
   });
 
   it('counts until its guard has moved on, though its grant was lost', () => {
-    const world = new FloorWorld(UPSTREAMS - 1);
-    acknowledge(world, 0);
-    const lost = eject(world, 0, 0);
-    expect(lost.kind).toBe('reply');
-    world.run({kind: 'tick', milliseconds: 150});
-    answerOf(world, takeReport(world, 0), 0);
-    deliver(world, eject(world, 1, 0));
-    expect(world.ejectedCount()).toBe(0);
-    deliver(world, lost);
-    expect(world.ejectedCount()).toBe(1);
+    const simulation = new FloorWorld(UPSTREAMS - 1);
+    reportToHolder(simulation, 0);
+    const lostReply = requestEjection(simulation, 0, 0);
+    expect(lostReply.kind).toBe('reply');
+    simulation.run({kind: 'tick', milliseconds: 150});
+    replyOf(simulation, takeReport(simulation, 0), 0);
+    deliver(simulation, requestEjection(simulation, 1, 0));
+    expect(simulation.ejectedCount()).toBe(0);
+    deliver(simulation, lostReply);
+    expect(simulation.ejectedCount()).toBe(1);
   });
 
-  it('is called back when the floor needs the upstream', () => {
-    const world = new FloorWorld(UPSTREAMS - 1);
-    acknowledge(world, 0);
-    deliver(world, eject(world, 0, 0));
-    expect(world.ejectedCount()).toBe(1);
-    world.messages.length = 0;
-    world.run({kind: 'tick', milliseconds: 7000});
-    deliver(world, answerOf(world, takeReport(world, 0), 0));
-    expect(world.ejectedCount()).toBe(0);
+  it('is revoked when the floor needs the upstream', () => {
+    const simulation = new FloorWorld(UPSTREAMS - 1);
+    reportToHolder(simulation, 0);
+    deliver(simulation, requestEjection(simulation, 0, 0));
+    expect(simulation.ejectedCount()).toBe(1);
+    simulation.messages.length = 0;
+    simulation.run({kind: 'tick', milliseconds: 7000});
+    deliver(simulation, replyOf(simulation, takeReport(simulation, 0), 0));
+    expect(simulation.ejectedCount()).toBe(0);
   });
 });
--- a/packages/brain/src/__tests__/guardBrain.test.ts
+++ b/packages/brain/src/__tests__/guardBrain.test.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Single decisions of a guard. */
+/** Tests single decisions of a guard. */
 
 import {describe, expect, it} from 'vitest';
 import {mintOnceKey} from '@lockpin/once';
@@ -14,7 +14,7 @@
 const HOME = {box: 'box', incarnation: 'a'};
 const random = seededRandom(1);
 
-function upstream(change: Partial<Resource<'Upstream'>['spec']> = {}) {
+function createUpstream(overrides: Partial<Resource<'Upstream'>['spec']> = {}) {
   return {
     kind: 'Upstream' as const,
     name: `${SERVICE}/upstream`,
@@ -26,25 +26,28 @@
       slots: 2,
       connections: 10,
       state: 'in-service' as const,
-      ...change,
+      ...overrides,
     },
   };
 }
 
-function services(resource: Resource<'Upstream'>): GuardEvent {
+function servicesChanged(resource: Resource<'Upstream'>): GuardEvent {
   return {
     kind: 'services-changed',
     services: [{name: SERVICE, sensitivity: 'balanced', upstreams: [resource]}],
   };
 }
 
-function guard(): GuardBrain {
-  const brain = new GuardBrain(HOME);
-  brain.handle(0, random, services(upstream()));
-  return brain;
+function createGuard(): GuardBrain {
+  const guard = new GuardBrain(HOME);
+  guard.handle(0, random, servicesChanged(createUpstream()));
+  return guard;
 }
 
-function call(id: string, change: Partial<GuardCall> = {}): GuardEvent {
+function callOffered(
+  id: string,
+  overrides: Partial<GuardCall> = {},
+): GuardEvent {
   return {
     kind: 'call-offered',
     call: {
@@ -61,13 +64,13 @@
       retryShare: 0.1,
       onceKey: undefined,
       requestDigest: '',
-      ...change,
+      ...overrides,
     },
   };
 }
 
-function answered(callId: string, isKept: boolean): GuardEvent {
-  const answer = isKept
+function callAnswered(callId: string, isStored: boolean): GuardEvent {
+  const answer = isStored
     ? {status: 201, headers: {}, body: new Uint8Array(2)}
     : undefined;
   return {
@@ -79,65 +82,69 @@
   };
 }
 
-describe('GuardBrain', () => {
-  it('lets a once-only call go on when its caller leaves, and keeps its answer', () => {
-    const brain = guard();
+describe('a guard', () => {
+  it('completes a once-only call after its caller leaves and stores its answer', () => {
+    const guard = createGuard();
     const onceKey = mintOnceKey(0, random, HOME);
     const once = {repetition: 'once-only' as const, onceKey};
-    expect(brain.handle(1, random, call('one', once))).toMatchObject([
+    expect(guard.handle(1, random, callOffered('one', once))).toMatchObject([
       {kind: 'run'},
     ]);
-    const left = brain.handle(2, random, {
+    const actions = guard.handle(2, random, {
       kind: 'call-cancelled',
       callId: 'one',
     });
-    expect(left).toEqual([]);
-    brain.handle(3, random, answered('one', true));
-    expect(brain.handle(4, random, call('two', once))).toMatchObject([
+    expect(actions).toEqual([]);
+    guard.handle(3, random, callAnswered('one', true));
+    expect(guard.handle(4, random, callOffered('two', once))).toMatchObject([
       {kind: 'answer-stored', callId: 'two'},
     ]);
   });
 
-  it('breaks off a repeatable call whose caller leaves', () => {
-    const brain = guard();
-    brain.handle(1, random, call('one'));
-    const left = brain.handle(2, random, {
+  it('aborts a repeatable call when its caller leaves', () => {
+    const guard = createGuard();
+    guard.handle(1, random, callOffered('one'));
+    const actions = guard.handle(2, random, {
       kind: 'call-cancelled',
       callId: 'one',
     });
-    expect(left[0]).toEqual({kind: 'abort', callId: 'one'});
+    expect(actions[0]).toEqual({kind: 'abort', callId: 'one'});
   });
 
   it('finishes what is queued when it drains, and takes nothing new', () => {
-    const brain = guard();
-    brain.handle(1, random, call('running'));
-    brain.handle(1, random, call('queued'));
-    brain.handle(2, random, services(upstream({state: 'draining'})));
-    expect(brain.handle(3, random, call('new'))).toMatchObject([
+    const guard = createGuard();
+    guard.handle(1, random, callOffered('running'));
+    guard.handle(1, random, callOffered('queued'));
+    guard.handle(
+      2,
+      random,
+      servicesChanged(createUpstream({state: 'draining'})),
+    );
+    expect(guard.handle(3, random, callOffered('new'))).toMatchObject([
       {
         kind: 'refuse',
         refusal: {reason: 'upstream-draining', outcome: 'not-run'},
       },
     ]);
-    const freed = brain.handle(4, random, answered('running', false));
+    const freed = guard.handle(4, random, callAnswered('running', false));
     expect(freed).toMatchObject([{kind: 'run', callId: 'queued'}]);
   });
 
-  it('refuses retries beyond their share of the calls it has seen', () => {
-    const brain = guard();
+  it('refuses retries beyond their share of the offered calls', () => {
+    const guard = createGuard();
     let refused = 0;
     for (let i = 0; i < 200; i += 1) {
       for (const attempt of [1, 2]) {
         const id = `${i}.${attempt}`;
-        const [action] = brain.handle(i, random, call(id, {attempt}));
+        const [action] = guard.handle(i, random, callOffered(id, {attempt}));
         refused += action?.kind === 'refuse' ? 1 : 0;
-        brain.handle(i, random, answered(id, false));
+        guard.handle(i, random, callAnswered(id, false));
       }
     }
     expect(refused).toBeGreaterThanOrEqual(200 - 22);
   });
 
-  it('has its retries counted on when its clock gains time', () => {
+  it('does not refill its retry budget early when its clock gains time', () => {
     const settings = {
       ...DEFAULT_GUARD_SETTINGS,
       createRetryBudget: () =>
@@ -147,15 +154,18 @@
           extra: 1,
         })),
     };
-    const brain = new GuardBrain(HOME, settings);
-    brain.handle(0, random, services(upstream()));
-    const retry = (now: number, id: string) =>
-      brain.handle(now, random, call(id, {attempt: 2, deadline: 20_000}))[0]
-        ?.kind;
-    expect(retry(1, 'one')).toBe('run');
-    brain.handle(2, random, answered('one', false));
-    brain.handle(2, random, {kind: 'clock-gained', milliseconds: 6000});
-    expect(retry(6003, 'two')).toBe('refuse');
-    expect(retry(11_002, 'three')).toBe('run');
+    const guard = new GuardBrain(HOME, settings);
+    guard.handle(0, random, servicesChanged(createUpstream()));
+    const offerRetry = (now: number, id: string) =>
+      guard.handle(
+        now,
+        random,
+        callOffered(id, {attempt: 2, deadline: 20_000}),
+      )[0]?.kind;
+    expect(offerRetry(1, 'one')).toBe('run');
+    guard.handle(2, random, callAnswered('one', false));
+    guard.handle(2, random, {kind: 'clock-gained', milliseconds: 6000});
+    expect(offerRetry(6003, 'two')).toBe('refuse');
+    expect(offerRetry(11_002, 'three')).toBe('run');
   });
 });
--- a/packages/brain/src/__tests__/idleUpstreams.test.ts
+++ b/packages/brain/src/__tests__/idleUpstreams.test.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Healthy upstreams stay in use although calls that cannot be repeated hang. */
+/** Tests that healthy upstreams stay in use while non-repeatable calls hang. */
 
 import {describe, expect, it} from 'vitest';
 import {seededRandom} from '@lockpin/utils';
@@ -7,10 +7,10 @@
 import {GuardWorld} from './__fixtures__/guardWorld.js';
 
 /** A healthy upstream gets a call within this time while calls are offered. */
-const LONGEST_IDLE_MILLISECONDS = 2000;
+const MAXIMUM_IDLE_MILLISECONDS = 2000;
 
-/** At least this share of the upstreams of a service gets a call within that time. */
-const LEAST_USED_SHARE = 0.7;
+/** At least this share of a service's upstreams gets a call in that time. */
+const MINIMUM_USED_SHARE = 0.7;
 
 const GOAL_MILLISECONDS = 3000;
 const CALL_MILLISECONDS = 900;
@@ -21,7 +21,7 @@
 /** How often a call is offered before it is dropped. */
 const OFFERS_PER_CALL = 8;
 
-const ONCE = {
+const AT_MOST_ONCE = {
   repetition: 'at-most-once',
   needsGo: false,
   mayWait: false,
@@ -33,42 +33,42 @@
 
 /** Offers a call at each step; returns the time until one is accepted. */
 function idleMilliseconds(
-  world: GuardWorld,
-  change: Partial<GuardCall> = {},
+  harness: GuardWorld,
+  overrides: Partial<GuardCall> = {},
 ): number {
-  const from = world.now;
-  for (let offered = 0; world.now - from < HANG_MILLISECONDS; offered += 1) {
-    world.now += STEP_MILLISECONDS;
-    world.tell({kind: 'tick'});
-    const usefulUntil = world.now + GOAL_MILLISECONDS;
-    const call = {...ONCE, usefulUntil, ...change};
-    if (isAccepted(world.offer(`offer ${offered}`, call))) {
+  const from = harness.now;
+  for (let offered = 0; harness.now - from < HANG_MILLISECONDS; offered += 1) {
+    harness.now += STEP_MILLISECONDS;
+    harness.tell({kind: 'tick'});
+    const usefulUntil = harness.now + GOAL_MILLISECONDS;
+    const call = {...AT_MOST_ONCE, usefulUntil, ...overrides};
+    if (isAccepted(harness.offer(`offer ${offered}`, call))) {
       break;
     }
   }
-  return world.now - from;
+  return harness.now - from;
 }
 
 describe('an upstream with a hung call', () => {
   it('gets another call within two seconds if none has succeeded', () => {
-    const world = new GuardWorld(SLOTS);
-    world.offer('hangs', {...ONCE, usefulUntil: GOAL_MILLISECONDS});
-    expect(idleMilliseconds(world)).toBeLessThan(LONGEST_IDLE_MILLISECONDS);
+    const harness = new GuardWorld(SLOTS);
+    harness.offer('hangs', {...AT_MOST_ONCE, usefulUntil: GOAL_MILLISECONDS});
+    expect(idleMilliseconds(harness)).toBeLessThan(MAXIMUM_IDLE_MILLISECONDS);
   });
 
   it('gets another call within two seconds if one has succeeded', () => {
-    const world = new GuardWorld(SLOTS);
-    world.run('well', 200);
+    const harness = new GuardWorld(SLOTS);
+    harness.run('well', 200);
     const expectedMilliseconds = CALL_MILLISECONDS;
-    world.offer('hangs', {...ONCE, expectedMilliseconds});
-    world.now += 3 * CALL_MILLISECONDS;
-    expect(idleMilliseconds(world, {expectedMilliseconds})).toBeLessThan(
-      LONGEST_IDLE_MILLISECONDS,
+    harness.offer('hangs', {...AT_MOST_ONCE, expectedMilliseconds});
+    harness.now += 3 * CALL_MILLISECONDS;
+    expect(idleMilliseconds(harness, {expectedMilliseconds})).toBeLessThan(
+      MAXIMUM_IDLE_MILLISECONDS,
     );
   });
 });
 
-/** Simulates the upstreams of a service whose calls cannot be repeated. */
+/** Simulates the upstreams of a service with non-repeatable calls. */
 class StartingService {
   readonly calledAt: number[][];
   private readonly upstreams: readonly GuardWorld[];
@@ -99,16 +99,20 @@
     }
   }
 
-  /** The least share of the upstreams that got a call in any span of this length. */
-  leastUsedShare(span: number, until: number): number {
-    let least = 1;
-    for (let from = 0; from + span <= until; from += STEP_MILLISECONDS) {
+  /** Minimum share of upstreams that got a call in any window. */
+  minimumUsedShare(windowMilliseconds: number, until: number): number {
+    let minimum = 1;
+    for (
+      let from = 0;
+      from + windowMilliseconds <= until;
+      from += STEP_MILLISECONDS
+    ) {
       const used = this.calledAt.filter((times) =>
-        times.some((time) => time > from && time <= from + span),
+        times.some((time) => time > from && time <= from + windowMilliseconds),
       );
-      least = Math.min(least, used.length / this.upstreams.length);
+      minimum = Math.min(minimum, used.length / this.upstreams.length);
     }
-    return least;
+    return minimum;
   }
 
   private offerCall(now: number, id: string): void {
@@ -116,7 +120,7 @@
     for (let offered = 0; offered < OFFERS_PER_CALL; offered += 1) {
       const chosen = Math.floor(this.random() * this.upstreams.length);
       const upstream = this.upstreams[chosen];
-      const call = {...ONCE, usefulUntil};
+      const call = {...AT_MOST_ONCE, usefulUntil};
       if (upstream && isAccepted(upstream.offer(`${id} ${offered}`, call))) {
         this.recordAccepted(now, chosen, `${id} ${offered}`);
         return;
@@ -147,15 +151,15 @@
   }
 }
 
-describe('a service that starts', () => {
+describe('a starting service', () => {
   it.each([1, 2, 3, 4, 5])(
     'keeps most healthy upstreams in use while many first calls hang (seed %i)',
     (seed) => {
       const service = new StartingService(seed, 40, 16);
       service.run(HANG_MILLISECONDS, 3);
       expect(
-        service.leastUsedShare(LONGEST_IDLE_MILLISECONDS, HANG_MILLISECONDS),
-      ).toBeGreaterThanOrEqual(LEAST_USED_SHARE);
+        service.minimumUsedShare(MAXIMUM_IDLE_MILLISECONDS, HANG_MILLISECONDS),
+      ).toBeGreaterThanOrEqual(MINIMUM_USED_SHARE);
     },
   );
 });
--- a/packages/brain/src/__tests__/overdueCalls.test.ts
+++ b/packages/brain/src/__tests__/overdueCalls.test.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** An entry whose guards are silent, busy or late. */
+/** Tests an entry whose guards are unresponsive, busy or late. */
 
 import {describe, expect, it} from 'vitest';
 import type {ServiceView} from '@lockpin/configuration';
@@ -14,9 +14,9 @@
 } from '../entry/entrySettings.js';
 
 const random = seededRandom(5);
-const DEADLINE = 2000;
+const DEADLINE_MILLISECONDS = 2000;
 
-function upstream(box: string): Resource<'Upstream'> {
+function createUpstream(box: string): Resource<'Upstream'> {
   return {
     kind: 'Upstream',
     name: `s/${box}`,
@@ -32,7 +32,7 @@
   };
 }
 
-function route(repetition: Repetition): Resource<'Route'> {
+function createRoute(repetition: Repetition): Resource<'Route'> {
   return {
     kind: 'Route',
     name: 'r',
@@ -41,7 +41,7 @@
       method: '*',
       pathPrefix: '/',
       repetition,
-      waitMilliseconds: DEADLINE,
+      waitMilliseconds: DEADLINE_MILLISECONDS,
       priority: 0,
       retryShare: 0,
       onceKeyHeader: '',
@@ -51,7 +51,7 @@
   };
 }
 
-class World {
+class EntryHarness {
   now = 0;
   readonly entry: EntryBrain;
   private readonly view: ServiceView;
@@ -73,7 +73,7 @@
           callerCredentialHash: '',
         },
       },
-      upstreams: boxes.map(upstream),
+      upstreams: boxes.map(createUpstream),
       routes: [],
     };
     this.entry = new EntryBrain(
@@ -105,20 +105,23 @@
     );
   }
 
-  tell(event: EntryEvent): readonly EntryAction[] {
+  handle(event: EntryEvent): readonly EntryAction[] {
     return this.entry.handle(this.now, random, event);
   }
 
-  arrive(repetition: Repetition, mayBeRepeat = false): readonly EntryAction[] {
-    return this.tell({
+  receiveCall(
+    repetition: Repetition,
+    mayBeRepeat = false,
+  ): readonly EntryAction[] {
+    return this.handle({
       kind: 'call-arrived',
       call: {
         id: '1',
         view: this.view,
-        route: route(repetition),
+        route: createRoute(repetition),
         customer: 's',
         bytes: 0,
-        deadline: DEADLINE,
+        deadline: DEADLINE_MILLISECONDS,
         onceKey: undefined,
         isFirstWithKey: false,
         isReplayable: true,
@@ -128,8 +131,8 @@
     });
   }
 
-  answer(status: number): readonly EntryAction[] {
-    return this.tell({
+  answerAttempt(status: number): readonly EntryAction[] {
+    return this.handle({
       kind: 'attempt-answered',
       callId: '1',
       status,
@@ -139,13 +142,13 @@
     });
   }
 
-  refuse(
+  refuseAttempt(
     upstream: string,
     reason: Refusal['reason'],
     outcome: Refusal['outcome'] = 'not-run',
     retryAfterMilliseconds = 0,
   ): readonly EntryAction[] {
-    return this.tell({
+    return this.handle({
       kind: 'attempt-refused',
       callId: '1',
       refusal: {reason, outcome, retryAfterMilliseconds},
@@ -155,7 +158,7 @@
   }
 }
 
-const kinds = (actions: readonly EntryAction[]) =>
+const kindsOf = (actions: readonly EntryAction[]) =>
   actions.map(({kind}) => kind);
 
 function upstreamOf(actions: readonly EntryAction[]): string {
@@ -170,65 +173,65 @@
     : '';
 }
 
-describe('a failure that is at hand', () => {
-  it('goes to the caller when second attempts find nobody while it may be held', () => {
-    const world = new World(['a', 'b']);
-    world.arrive('repeatable');
-    let actions = world.answer(500);
+describe('a fallback answer', () => {
+  it('is returned when no upstream accepts a second attempt in the hold time', () => {
+    const harness = new EntryHarness(['a', 'b']);
+    harness.receiveCall('repeatable');
+    let actions = harness.answerAttempt(500);
     while (
-      world.now < DEADLINE &&
-      !kinds(actions).includes('pass-spare-answer')
+      harness.now < DEADLINE_MILLISECONDS &&
+      !kindsOf(actions).includes('pass-spare-answer')
     ) {
       const [action] = actions;
       if (action?.kind === 'pause') {
-        world.now += action.milliseconds;
-        actions = world.tell({kind: 'pause-ended', callId: '1'});
+        harness.now += action.milliseconds;
+        actions = harness.handle({kind: 'pause-ended', callId: '1'});
       } else {
-        actions = world.refuse(upstreamOf(actions), 'upstream-busy');
+        actions = harness.refuseAttempt(upstreamOf(actions), 'upstream-busy');
       }
       expect(refusalOf(actions)).toBe('');
     }
-    expect(kinds(actions)).toEqual(['pass-spare-answer']);
-    expect(world.now).toBeLessThan(DEADLINE / 2);
+    expect(kindsOf(actions)).toEqual(['pass-spare-answer']);
+    expect(harness.now).toBeLessThan(DEADLINE_MILLISECONDS / 2);
   });
 
-  it('goes to the caller when the time ends during a second attempt', () => {
-    const world = new World(['a', 'b']);
-    world.arrive('repeatable');
-    world.answer(500);
-    world.now = DEADLINE;
-    const actions = world.tell({
+  it('is returned when the deadline passes during a second attempt', () => {
+    const harness = new EntryHarness(['a', 'b']);
+    harness.receiveCall('repeatable');
+    harness.answerAttempt(500);
+    harness.now = DEADLINE_MILLISECONDS;
+    const actions = harness.handle({
       kind: 'given-up',
       callId: '1',
       reason: 'deadline-passed',
       wasSent: true,
     });
-    expect(kinds(actions).at(-1)).toBe('pass-spare-answer');
+    expect(kindsOf(actions).at(-1)).toBe('pass-spare-answer');
     expect(refusalOf(actions)).toBe('');
   });
 
-  it('makes way for a better answer', () => {
-    const world = new World(['a', 'b']);
-    world.arrive('repeatable');
-    world.answer(500);
-    expect(kinds(world.answer(200))).toEqual(['pass-answer']);
+  it('is replaced by a better answer', () => {
+    const harness = new EntryHarness(['a', 'b']);
+    harness.receiveCall('repeatable');
+    harness.answerAttempt(500);
+    expect(kindsOf(harness.answerAttempt(200))).toEqual(['pass-answer']);
   });
 });
 
-describe('a guard that is silent', () => {
+describe('an unresponsive guard', () => {
   it('is passed over at no cost, whatever the kind of call', () => {
-    const world = new World(['a', 'b']);
-    const first = upstreamOf(world.arrive('at-most-once'));
-    const actions = world.tell({kind: 'attempt-silent', callId: '1'});
-    expect(kinds(actions)).toEqual(['cancel-attempt', 'attempt']);
+    const harness = new EntryHarness(['a', 'b']);
+    const first = upstreamOf(harness.receiveCall('at-most-once'));
+    const actions = harness.handle({kind: 'attempt-silent', callId: '1'});
+    expect(kindsOf(actions)).toEqual(['cancel-attempt', 'attempt']);
     expect(upstreamOf(actions)).not.toBe(first);
   });
 
   it('leaves the call not run when the time is over before any go', () => {
-    const world = new World(['a']);
-    world.arrive('at-most-once');
+    const harness = new EntryHarness(['a']);
+    harness.receiveCall('at-most-once');
     const ended = {callId: '1', wasSent: false};
-    const actions = world.tell({
+    const actions = harness.handle({
       kind: 'given-up',
       reason: 'deadline-passed',
       ...ended,
@@ -238,11 +241,11 @@
 });
 
 describe('a box that has lost its upstream', () => {
-  it('is not asked by every call, though it has all its slots free', () => {
-    const world = new World(['a', 'b']);
-    const asked = world.arrive('repeatable');
+  it('gets no further calls although all its slots are free', () => {
+    const harness = new EntryHarness(['a', 'b']);
+    const asked = harness.receiveCall('repeatable');
     const missing = upstreamOf(asked);
-    const again = world.tell({
+    const again = harness.handle({
       kind: 'attempt-refused',
       callId: '1',
       refusal: {
@@ -254,60 +257,60 @@
       hint: undefined,
     });
     expect(upstreamOf(again)).not.toBe(missing);
-    world.answer(200);
-    world.tell({kind: 'answer-ended', callId: '1'});
+    harness.answerAttempt(200);
+    harness.handle({kind: 'answer-ended', callId: '1'});
     for (let i = 0; i < 5; i += 1) {
-      expect(upstreamOf(world.arrive('repeatable'))).not.toBe(missing);
-      world.answer(200);
-      world.tell({kind: 'answer-ended', callId: '1'});
+      expect(upstreamOf(harness.receiveCall('repeatable'))).not.toBe(missing);
+      harness.answerAttempt(200);
+      harness.handle({kind: 'answer-ended', callId: '1'});
     }
   });
 });
 
-describe('an upstream that was full a moment ago', () => {
-  it('is not asked for a free slot, and is asked again soon after', () => {
-    const world = new World(['a', 'b']);
+describe('a recently full upstream', () => {
+  it('gets no immediate offers, but counts as full only for a short time', () => {
+    const harness = new EntryHarness(['a', 'b']);
     const full = {state: 'accepting', occupied: 4, limit: 4} as const;
-    world.entry.loads.heard('s/a', world.now, full);
-    expect(upstreamOf(world.arrive('at-most-once'))).toBe('s/b');
-    const next = world.refuse('s/b', 'upstream-busy');
+    harness.entry.loads.heard('s/a', harness.now, full);
+    expect(upstreamOf(harness.receiveCall('at-most-once'))).toBe('s/b');
+    const next = harness.refuseAttempt('s/b', 'upstream-busy');
     expect(next).toMatchObject([{attempt: {terms: 'may-wait'}}]);
-    expect(world.entry.loads.isFull('s/a', world.now + 151)).toBe(false);
+    expect(harness.entry.loads.isFull('s/a', harness.now + 151)).toBe(false);
   });
 });
 
-describe('a service whose upstreams are crowded', () => {
+describe('a service with busy upstreams', () => {
   const BOXES = ['a', 'b', 'c', 'd', 'e', 'f'];
 
-  function firstChoices(world: World): ReadonlySet<string> {
+  function firstChoices(harness: EntryHarness): ReadonlySet<string> {
     const chosen = new Set<string>();
     for (let i = 0; i < 30; i += 1) {
-      chosen.add(upstreamOf(world.arrive('at-most-once')));
-      world.answer(200);
-      world.tell({kind: 'answer-ended', callId: '1'});
+      chosen.add(upstreamOf(harness.receiveCall('at-most-once')));
+      harness.answerAttempt(200);
+      harness.handle({kind: 'answer-ended', callId: '1'});
     }
     return chosen;
   }
 
-  it('gets calls that cannot be repeated on all upstreams while there is room', () => {
-    expect(firstChoices(new World(BOXES)).size).toBe(BOXES.length);
+  it('spreads non-repeatable calls over all upstreams while slots are free', () => {
+    expect(firstChoices(new EntryHarness(BOXES)).size).toBe(BOXES.length);
   });
 
-  it('gets them on all once offers found no free slot', () => {
-    const world = new World(BOXES);
+  it('spreads them over all upstreams after offers found no free slot', () => {
+    const harness = new EntryHarness(BOXES);
     for (let i = 0; i < 6; i += 1) {
-      const asked = upstreamOf(world.arrive('at-most-once'));
-      world.refuse(asked, 'upstream-busy');
-      world.answer(200);
-      world.tell({kind: 'answer-ended', callId: '1'});
+      const asked = upstreamOf(harness.receiveCall('at-most-once'));
+      harness.refuseAttempt(asked, 'upstream-busy');
+      harness.answerAttempt(200);
+      harness.handle({kind: 'answer-ended', callId: '1'});
     }
     const spread = new Set<string>();
     for (let i = 0; i < 20; i += 1) {
-      const asked = upstreamOf(world.arrive('at-most-once'));
+      const asked = upstreamOf(harness.receiveCall('at-most-once'));
       spread.add(asked);
-      world.refuse(asked, 'upstream-busy');
-      world.answer(200);
-      world.tell({kind: 'answer-ended', callId: '1'});
+      harness.refuseAttempt(asked, 'upstream-busy');
+      harness.answerAttempt(200);
+      harness.handle({kind: 'answer-ended', callId: '1'});
     }
     expect(spread.size).toBe(BOXES.length);
   });
@@ -315,188 +318,203 @@
 
 describe('upstreams that are all busy', () => {
   it('are asked to let the call wait, then asked again after a pause', () => {
-    const world = new World(['a', 'b']);
-    let actions = world.arrive('at-most-once');
+    const harness = new EntryHarness(['a', 'b']);
+    let actions = harness.receiveCall('at-most-once');
     const terms: string[] = [];
-    while (kinds(actions).includes('attempt')) {
+    while (kindsOf(actions).includes('attempt')) {
       const [action] = actions;
       if (action?.kind === 'attempt') {
         terms.push(action.attempt.terms);
         const {upstream: name} = action.attempt;
-        actions = world.refuse(name ?? '', 'upstream-busy');
+        actions = harness.refuseAttempt(name ?? '', 'upstream-busy');
       }
     }
     expect(terms).toEqual(['immediate', 'immediate', 'may-wait', 'may-wait']);
-    expect(kinds(actions)).toEqual(['pause']);
-    world.now += 30;
-    expect(kinds(world.tell({kind: 'pause-ended', callId: '1'}))).toEqual([
-      'attempt',
-    ]);
+    expect(kindsOf(actions)).toEqual(['pause']);
+    harness.now += 30;
+    expect(kindsOf(harness.handle({kind: 'pause-ended', callId: '1'}))).toEqual(
+      ['attempt'],
+    );
   });
 
-  /** What follows once both have told how long a slot takes. */
-  function afterWaits(first: number, second: number): readonly EntryAction[] {
-    const world = new World(['a', 'b']);
-    let actions = world.arrive('at-most-once');
-    while (kinds(actions).includes('attempt')) {
+  /** Returns the actions after both have refused with a retry-after time. */
+  function actionsAfterWaits(
+    first: number,
+    second: number,
+  ): readonly EntryAction[] {
+    const harness = new EntryHarness(['a', 'b']);
+    let actions = harness.receiveCall('at-most-once');
+    while (kindsOf(actions).includes('attempt')) {
       const name = upstreamOf(actions);
       const wait = name === 's/a' ? first : second;
-      actions = world.refuse(name, 'upstream-busy', 'not-run', wait);
+      actions = harness.refuseAttempt(name, 'upstream-busy', 'not-run', wait);
     }
     return actions;
   }
 
-  it('are asked again after half of the shorter wait that they told of', () => {
-    const [action] = afterWaits(900, 400);
+  it('are asked again after half of the shorter retry-after time', () => {
+    const [action] = actionsAfterWaits(900, 400);
     expect(action).toMatchObject({kind: 'pause', milliseconds: 200});
   });
 
-  it('are given up on at once where no slot is expected while the call is held', () => {
-    const actions = afterWaits(3000, 2000);
+  it('cause a refusal at once if no slot is expected in the hold time', () => {
+    const actions = actionsAfterWaits(3000, 2000);
     expect(refusalOf(actions)).toBe('upstream-busy not-run');
   });
 
-  it('are asked to take the call though it will be late, when none can in time', () => {
-    const world = new World(['a']);
+  it('are asked to take the call late if none can take it in time', () => {
+    const harness = new EntryHarness(['a']);
     const terms: string[] = [];
-    let actions = world.arrive('at-most-once');
-    while (kinds(actions).includes('attempt')) {
+    let actions = harness.receiveCall('at-most-once');
+    while (kindsOf(actions).includes('attempt')) {
       const [action] = actions;
       terms.push(action?.kind === 'attempt' ? action.attempt.terms : '');
       const isFirst = terms.length === 1;
       const reason = isFirst ? 'upstream-busy' : 'deadline-too-short';
-      actions = world.refuse('s/a', reason);
+      actions = harness.refuseAttempt('s/a', reason);
     }
     expect(terms).toEqual(['immediate', 'may-wait', 'may-be-late']);
   });
 
-  it('are given up on, as not run, once the call was held long enough', () => {
-    const world = new World(['a']);
-    let actions = world.arrive('at-most-once');
-    for (let i = 0; i < 50 && !kinds(actions).includes('refuse'); i += 1) {
+  it('cause a not-run refusal once the hold time has passed', () => {
+    const harness = new EntryHarness(['a']);
+    let actions = harness.receiveCall('at-most-once');
+    for (let i = 0; i < 50 && !kindsOf(actions).includes('refuse'); i += 1) {
       const [action] = actions;
       if (action?.kind === 'pause') {
-        world.now += action.milliseconds;
-        actions = world.tell({kind: 'pause-ended', callId: '1'});
+        harness.now += action.milliseconds;
+        actions = harness.handle({kind: 'pause-ended', callId: '1'});
       } else {
-        actions = world.refuse('s/a', 'upstream-busy');
+        actions = harness.refuseAttempt('s/a', 'upstream-busy');
       }
     }
     expect(refusalOf(actions)).toBe('upstream-busy not-run');
-    expect(world.now).toBeLessThanOrEqual(DEADLINE * 0.4);
+    expect(harness.now).toBeLessThanOrEqual(DEADLINE_MILLISECONDS * 0.4);
   });
 });
 
-describe('a call that has run nowhere yet', () => {
-  const startBy = (actions: readonly EntryAction[]) =>
+describe('a call that has not run yet', () => {
+  const startTimesOf = (actions: readonly EntryAction[]) =>
     actions.flatMap((action) =>
       action.kind === 'attempt' ? [action.attempt.startBy] : [],
     );
 
-  it('is to come back from its guard before half of its time is over', () => {
-    const world = new World(['a', 'b']);
-    expect(startBy(world.arrive('at-most-once'))).toEqual([DEADLINE * 0.4]);
+  it('must be started by its guard within the hold time', () => {
+    const harness = new EntryHarness(['a', 'b']);
+    expect(startTimesOf(harness.receiveCall('at-most-once'))).toEqual([
+      DEADLINE_MILLISECONDS * 0.4,
+    ]);
   });
 
-  it('may wait as long as it likes once an upstream has worked on it', () => {
-    const world = new World(['a', 'b']);
-    world.arrive('repeatable');
-    expect(startBy(world.answer(500))).toEqual([undefined]);
+  it('has no limit on its start once an upstream has run it', () => {
+    const harness = new EntryHarness(['a', 'b']);
+    harness.receiveCall('repeatable');
+    expect(startTimesOf(harness.answerAttempt(500))).toEqual([undefined]);
   });
 });
 
-describe('an attempt that is overdue', () => {
-  it('goes on beside the next one, and counts when it is answered first', () => {
-    const world = new World(['a', 'b', 'c']);
-    const first = upstreamOf(world.arrive('repeatable'));
-    const next = world.tell({kind: 'attempt-overdue', callId: '1'});
-    expect(kinds(next)).toEqual(['keep-overdue', 'attempt']);
+describe('an overdue attempt', () => {
+  it('continues alongside its hedge and is used if it is answered first', () => {
+    const harness = new EntryHarness(['a', 'b', 'c']);
+    const first = upstreamOf(harness.receiveCall('repeatable'));
+    const next = harness.handle({kind: 'attempt-overdue', callId: '1'});
+    expect(kindsOf(next)).toEqual(['keep-overdue', 'attempt']);
     expect(upstreamOf(next)).not.toBe(first);
-    const answered = world.tell({
+    const answered = harness.handle({
       kind: 'overdue-answered',
       callId: '1',
       status: 200,
       hint: undefined,
       ranMilliseconds: 500,
     });
-    expect(kinds(answered)).toEqual(['cancel-attempt', 'pass-overdue-answer']);
+    expect(kindsOf(answered)).toEqual([
+      'cancel-attempt',
+      'pass-overdue-answer',
+    ]);
   });
 
-  it('is cancelled when the next one is answered first', () => {
-    const world = new World(['a', 'b', 'c']);
-    world.arrive('repeatable');
-    world.tell({kind: 'attempt-overdue', callId: '1'});
-    expect(kinds(world.answer(200))).toEqual(['pass-answer', 'cancel-overdue']);
+  it('is cancelled when its hedge is answered first', () => {
+    const harness = new EntryHarness(['a', 'b', 'c']);
+    harness.receiveCall('repeatable');
+    harness.handle({kind: 'attempt-overdue', callId: '1'});
+    expect(kindsOf(harness.answerAttempt(200))).toEqual([
+      'pass-answer',
+      'cancel-overdue',
+    ]);
   });
 
-  it('is waited for when the next one fails, and then the failure stands', () => {
-    const world = new World(['a', 'b', 'c']);
-    world.arrive('repeatable');
-    const next = upstreamOf(world.tell({kind: 'attempt-overdue', callId: '1'}));
-    const failed = world.refuse(next, 'upstream-failed', 'unknown');
+  it('is awaited when its hedge fails, and then the failure is returned', () => {
+    const harness = new EntryHarness(['a', 'b', 'c']);
+    harness.receiveCall('repeatable');
+    const next = upstreamOf(
+      harness.handle({kind: 'attempt-overdue', callId: '1'}),
+    );
+    const failed = harness.refuseAttempt(next, 'upstream-failed', 'unknown');
     expect(failed).toEqual([]);
-    const ended = world.tell({kind: 'overdue-ended', callId: '1'});
+    const ended = harness.handle({kind: 'overdue-ended', callId: '1'});
     expect(refusalOf(ended)).toBe('upstream-failed unknown');
   });
 
-  it('never happens to a call that cannot be repeated', () => {
-    const world = new World(['a', 'b']);
-    world.arrive('at-most-once');
-    expect(world.tell({kind: 'attempt-overdue', callId: '1'})).toEqual([]);
+  it('is not hedged if the call is not repeatable', () => {
+    const harness = new EntryHarness(['a', 'b']);
+    harness.receiveCall('at-most-once');
+    expect(harness.handle({kind: 'attempt-overdue', callId: '1'})).toEqual([]);
   });
 
   it('leaves one run at the most beside it, as the route allows two', () => {
-    const world = new World(['a', 'b', 'c', 'd']);
-    world.arrive('repeatable');
-    world.tell({kind: 'attempt-overdue', callId: '1'});
-    expect(world.tell({kind: 'attempt-overdue', callId: '1'})).toEqual([]);
-    expect(kinds(world.answer(500))).toEqual([]);
-    const ended = world.tell({kind: 'overdue-ended', callId: '1'});
-    expect(kinds(ended)).toEqual(['pass-answer']);
+    const harness = new EntryHarness(['a', 'b', 'c', 'd']);
+    harness.receiveCall('repeatable');
+    harness.handle({kind: 'attempt-overdue', callId: '1'});
+    expect(harness.handle({kind: 'attempt-overdue', callId: '1'})).toEqual([]);
+    expect(kindsOf(harness.answerAttempt(500))).toEqual([]);
+    const ended = harness.handle({kind: 'overdue-ended', callId: '1'});
+    expect(kindsOf(ended)).toEqual(['pass-answer']);
   });
 });
 
-describe('calls that may be repeats of an upstream on this box', () => {
+describe('calls that may be retries by an upstream on this box', () => {
   function retriesAfter(calls: number, areRepeats: boolean): number {
-    const world = new World(['a', 'b', 'c']);
+    const harness = new EntryHarness(['a', 'b', 'c']);
     let retries = 0;
     for (let i = 0; i < calls; i += 1) {
-      world.arrive('repeatable', areRepeats);
-      retries += kinds(world.answer(500)).includes('attempt') ? 1 : 0;
-      world.answer(200);
-      world.tell({kind: 'answer-ended', callId: '1'});
+      harness.receiveCall('repeatable', areRepeats);
+      retries += kindsOf(harness.answerAttempt(500)).includes('attempt')
+        ? 1
+        : 0;
+      harness.answerAttempt(200);
+      harness.handle({kind: 'answer-ended', callId: '1'});
     }
     return retries;
   }
 
   it('are taken out of what the entry itself may repeat', () => {
-    // Ten retries a window on top of a fifth of the calls.
+    // Ten retries in each window plus a fifth of the calls.
     expect(retriesAfter(20, false)).toBe(14);
     expect(retriesAfter(20, true)).toBeLessThan(7);
   });
 });
 
 describe('a call that failed on one upstream', () => {
-  it('is not the probe of a doubted one', () => {
+  it('is not used to probe a doubted one', () => {
     for (let i = 0; i < 20; i += 1) {
-      const world = new World(['a', 'b', 'c']);
-      const first = upstreamOf(world.arrive('repeatable'));
+      const harness = new EntryHarness(['a', 'b', 'c']);
+      const first = upstreamOf(harness.receiveCall('repeatable'));
       const others = ['s/a', 's/b', 's/c'].filter((name) => name !== first);
-      world.entry.loads.heard(others[0] ?? '', world.now, {
+      harness.entry.loads.heard(others[0] ?? '', harness.now, {
         state: 'doubted',
         occupied: 0,
         limit: 4,
         doubtedFor: 2000,
         probeIn: 0,
       });
-      expect(upstreamOf(world.answer(500))).toBe(others[1]);
+      expect(upstreamOf(harness.answerAttempt(500))).toBe(others[1]);
     }
   });
 
   it('is not repeated on a third, though the second failed too', () => {
-    const world = new World(['a', 'b', 'c', 'd']);
-    world.arrive('repeatable');
-    expect(kinds(world.answer(500))).toEqual(['attempt']);
-    expect(kinds(world.answer(500))).toEqual(['pass-answer']);
+    const harness = new EntryHarness(['a', 'b', 'c', 'd']);
+    harness.receiveCall('repeatable');
+    expect(kindsOf(harness.answerAttempt(500))).toEqual(['attempt']);
+    expect(kindsOf(harness.answerAttempt(500))).toEqual(['pass-answer']);
   });
 });
--- a/packages/brain/src/__tests__/probation.test.ts
+++ b/packages/brain/src/__tests__/probation.test.ts
@@ -14,7 +14,7 @@
   reasonOf,
 } from './__fixtures__/guardWorld.js';
 
-const {firstHold} = DETECTION_SETTINGS.fast;
+const {firstHold: initialHoldMilliseconds} = DETECTION_SETTINGS.fast;
 const FAILED_CALLS = 60;
 const STEP_MILLISECONDS = 20;
 const BASELINE: PeerBaseline = {
@@ -30,53 +30,53 @@
 };
 const AT_MOST_ONCE = {repetition: 'at-most-once', needsGo: false} as const;
 
-/** Creates a guard whose upstream failed all calls, was ejected and is on probation. */
-function upstreamOnProbation(): GuardWorld {
+/** Creates a guard whose upstream failed all calls and is now on probation. */
+function createUpstreamOnProbation(): GuardWorld {
   const identity = {box: 'box', incarnation: 'a'};
   const guard = new GuardBrain(identity, DEFAULT_GUARD_SETTINGS);
-  const world = new GuardWorld(4, undefined, undefined, guard);
+  const harness = new GuardWorld(4, undefined, undefined, guard);
   const fence = {era: 1, offset: 1};
   const reply = (decision: HolderReply['decision']) =>
-    world.tell({
+    harness.tell({
       kind: 'holder-replied',
       service: SERVICE,
       reply: {upstream: UPSTREAM, fence, decision, baseline: BASELINE},
     });
-  world.tell({kind: 'fence-learnt', service: SERVICE, fence});
-  world.tell({kind: 'holders-read'});
+  harness.tell({kind: 'fence-learnt', service: SERVICE, fence});
+  harness.tell({kind: 'holders-read'});
   reply({kind: 'none'});
   for (let i = 0; i < FAILED_CALLS; i += 1) {
-    world.now += STEP_MILLISECONDS;
-    world.run(`failed ${i}`, 500);
-    world.tell({kind: 'tick'});
+    harness.now += STEP_MILLISECONDS;
+    harness.run(`failed ${i}`, 500);
+    harness.tell({kind: 'tick'});
   }
   reply({kind: 'granted', request: 0});
-  world.now += firstHold;
-  world.tell({kind: 'tick'});
-  return world;
+  harness.now += initialHoldMilliseconds;
+  harness.tell({kind: 'tick'});
+  return harness;
 }
 
 describe('an upstream on probation', () => {
   // Guards against a probation that never ends without repeatable calls.
   it('admits one non-repeatable call at a time if no repeatable ones arrive', () => {
-    const world = upstreamOnProbation();
-    expect(reasonOf(world.offer('early', AT_MOST_ONCE))).toEqual([
+    const harness = createUpstreamOnProbation();
+    expect(reasonOf(harness.offer('early', AT_MOST_ONCE))).toEqual([
       'upstream-ejected not-run',
     ]);
-    world.now += firstHold;
-    expect(world.offer('probe', AT_MOST_ONCE)).toMatchObject([{kind: 'run'}]);
-    expect(reasonOf(world.offer('second', AT_MOST_ONCE))).toEqual([
+    harness.now += initialHoldMilliseconds;
+    expect(harness.offer('probe', AT_MOST_ONCE)).toMatchObject([{kind: 'run'}]);
+    expect(reasonOf(harness.offer('second', AT_MOST_ONCE))).toEqual([
       'upstream-ejected not-run',
     ]);
   });
 
-  // Guards against probing with non-repeatable calls when repeatable ones suffice.
+  // Guards against probes with non-repeatable calls if repeatable ones suffice.
   it('admits no non-repeatable calls while repeatable ones arrive', () => {
-    const world = upstreamOnProbation();
+    const harness = createUpstreamOnProbation();
     for (let i = 0; i < 4; i += 1) {
-      world.now += firstHold - STEP_MILLISECONDS;
-      world.run(`probe ${i}`, 200);
-      expect(reasonOf(world.offer(`once ${i}`, AT_MOST_ONCE))).toEqual([
+      harness.now += initialHoldMilliseconds - STEP_MILLISECONDS;
+      harness.run(`probe ${i}`, 200);
+      expect(reasonOf(harness.offer(`once ${i}`, AT_MOST_ONCE))).toEqual([
         'upstream-ejected not-run',
       ]);
     }
--- a/packages/brain/src/__tests__/restoredLog.test.ts
+++ b/packages/brain/src/__tests__/restoredLog.test.ts
@@ -1,8 +1,8 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
 /**
- * The log comes back as it was some time ago: confirmed changes and claims are gone, and
- * their offsets are given out again. What was accepted stays in force everywhere, or
- * operators are told by name what does not.
+ * Restores the log from an older copy: confirmed changes and claims are lost,
+ * and their offsets are assigned again. Accepted changes must stay in force on
+ * every node, or operators must be told by name which ones do not.
  */
 
 import {describe, expect, it} from 'vitest';
@@ -11,44 +11,49 @@
 import {ControlWorld} from './__fixtures__/controlWorld.js';
 import type {WorldNode} from './__fixtures__/controlWorld.js';
 
-/** A change is in force everywhere in this time. */
+/** A change is in force on every node within this time. */
 const CONFIGURATION_MILLISECONDS = 16_000;
 
 const SETTINGS = {
   snapshots: {everyRecords: 5, everyMilliseconds: 3_600_000},
 };
 
-function startWorld(nodes: number, seed = 1): ControlWorld {
-  const world = new ControlWorld(seed, SETTINGS);
+function startSimulation(nodes: number, seed = 1): ControlWorld {
+  const simulation = new ControlWorld(seed, SETTINGS);
   for (let i = 0; i < nodes; i += 1) {
-    world.start(`box-${i}`, `data-centre-${i % 2}`);
+    simulation.start(`box-${i}`, `data-centre-${i % 2}`);
   }
-  const areReady = (): boolean => world.nodes.every(({brain}) => brain.isReady);
-  expect(world.runUntil(areReady)).toBe(true);
-  return world;
+  const areReady = (): boolean =>
+    simulation.nodes.every(({brain: stateMachine}) => stateMachine.isReady);
+  expect(simulation.runUntil(areReady)).toBe(true);
+  return simulation;
 }
 
-function node(world: ControlWorld, i: number): WorldNode {
-  return world.nodes[i % world.nodes.length] as WorldNode;
+function nodeAt(simulation: ControlWorld, i: number): WorldNode {
+  return simulation.nodes[i % simulation.nodes.length] as WorldNode;
 }
 
-function publishMany(world: ControlWorld, from: number, to: number): void {
+function publishMany(simulation: ControlWorld, from: number, to: number): void {
   for (let i = from; i < to; i += 1) {
-    world.publish(node(world, i), `change-${i}`, `customer-${i}`);
-    expect(world.runUntil(() => world.settlements.has(`change-${i}`))).toBe(
-      true,
-    );
+    simulation.publish(nodeAt(simulation, i), `change-${i}`, `customer-${i}`);
+    expect(
+      simulation.runUntil(() => simulation.settlements.has(`change-${i}`)),
+    ).toBe(true);
   }
 }
 
-/** Whether every node that runs has these customers in force. */
-function allHave(world: ControlWorld, from: number, to: number): boolean {
-  return world.nodes
+/** Whether all running nodes have these customers in force. */
+function haveCustomers(
+  simulation: ControlWorld,
+  from: number,
+  to: number,
+): boolean {
+  return simulation.nodes
     .filter(({isUp}) => isUp)
-    .every(({brain}) => {
-      const {state} = brain.keeper;
+    .every(({brain: stateMachine}) => {
+      const {state} = stateMachine.keeper;
       return (
-        brain.isReady &&
+        stateMachine.isReady &&
         Array.from({length: to - from}, (_, i) => `customer-${from + i}`).every(
           (name) => state.get('Customer', name) !== undefined,
         )
@@ -56,70 +61,80 @@
     });
 }
 
-describe('a change that was accepted before the log was restored', () => {
+describe('a change accepted before the log is restored', () => {
   it('stays in force everywhere, and comes into force where nodes start after', () => {
     for (let seed = 1; seed <= 10; seed += 1) {
-      const world = startWorld(6, seed);
-      publishMany(world, 0, 5);
-      world.run(seed * 1000);
-      const copiedAt = world.now;
-      world.run(100);
-      publishMany(world, 5, 8);
-      world.run(3000);
-      world.restoreLogTo(copiedAt);
-      world.run(CONFIGURATION_MILLISECONDS);
-      expect(allHave(world, 0, 8)).toBe(true);
-      world.nodes.forEach((one) => world.stop(one));
-      world.nodes.forEach(({box, dataCentre}) => world.start(box, dataCentre));
-      expect(world.runUntil(() => allHave(world, 0, 8))).toBe(true);
-      expect(world.digests().size).toBe(1);
+      const simulation = startSimulation(6, seed);
+      publishMany(simulation, 0, 5);
+      simulation.run(seed * 1000);
+      const copiedAt = simulation.now;
+      simulation.run(100);
+      publishMany(simulation, 5, 8);
+      simulation.run(3000);
+      simulation.restoreLogTo(copiedAt);
+      simulation.run(CONFIGURATION_MILLISECONDS);
+      expect(haveCustomers(simulation, 0, 8)).toBe(true);
+      simulation.nodes.forEach((target) => simulation.stop(target));
+      simulation.nodes.forEach(({box, dataCentre}) =>
+        simulation.start(box, dataCentre),
+      );
+      expect(simulation.runUntil(() => haveCustomers(simulation, 0, 8))).toBe(
+        true,
+      );
+      expect(simulation.digests().size).toBe(1);
     }
   });
 
   it('is written again once, not by every node', () => {
-    const world = startWorld(8, 3);
-    publishMany(world, 0, 4);
-    const copiedAt = world.now;
-    world.run(100);
-    publishMany(world, 4, 6);
-    world.restoreLogTo(copiedAt);
-    world.run(2 * CONFIGURATION_MILLISECONDS);
-    expect(world.log.streams.configuration.records).toHaveLength(6);
+    const simulation = startSimulation(8, 3);
+    publishMany(simulation, 0, 4);
+    const copiedAt = simulation.now;
+    simulation.run(100);
+    publishMany(simulation, 4, 6);
+    simulation.restoreLogTo(copiedAt);
+    simulation.run(2 * CONFIGURATION_MILLISECONDS);
+    expect(simulation.log.streams.configuration.records).toHaveLength(6);
   });
 });
 
-describe('a change that is offered after the log was restored', () => {
+describe('a change published after the log is restored', () => {
   it('is accepted and in force everywhere', () => {
     for (let seed = 1; seed <= 10; seed += 1) {
-      const world = startWorld(6, seed);
-      publishMany(world, 0, 4);
-      world.run(seed * 1000);
-      const copiedAt = world.now;
-      world.run(100);
-      publishMany(world, 4, 7);
-      world.restoreLogTo(copiedAt);
-      world.publish(node(world, seed), 'later', 'customer-7');
-      expect(world.runUntil(() => world.settlements.has('later'))).toBe(true);
-      expect(world.settlements.get('later')).toMatchObject({
+      const simulation = startSimulation(6, seed);
+      publishMany(simulation, 0, 4);
+      simulation.run(seed * 1000);
+      const copiedAt = simulation.now;
+      simulation.run(100);
+      publishMany(simulation, 4, 7);
+      simulation.restoreLogTo(copiedAt);
+      simulation.publish(nodeAt(simulation, seed), 'later', 'customer-7');
+      expect(
+        simulation.runUntil(() => simulation.settlements.has('later')),
+      ).toBe(true);
+      expect(simulation.settlements.get('later')).toMatchObject({
         outcome: {kind: 'accepted'},
       });
-      const spread = (): boolean => allHave(world, 0, 8);
-      expect(world.runUntil(spread, CONFIGURATION_MILLISECONDS)).toBe(true);
-      expect(world.digests().size).toBe(1);
+      const isInForce = (): boolean => haveCustomers(simulation, 0, 8);
+      expect(simulation.runUntil(isInForce, CONFIGURATION_MILLISECONDS)).toBe(
+        true,
+      );
+      expect(simulation.digests().size).toBe(1);
     }
   });
 
   it('keeps an earlier one out only where both change the same, and operators hear so', () => {
-    const world = startWorld(4, 5);
-    publishMany(world, 0, 3);
-    const copiedAt = world.now;
-    world.run(100);
-    world.publish(node(world, 0), 'first', 'same');
-    expect(world.runUntil(() => world.settlements.has('first'))).toBe(true);
-    world.run(2000);
-    world.restoreLogTo(copiedAt);
-    // Before any node can know of the restore.
-    world.appendPastNodes('configuration', {
+    const simulation = startSimulation(4, 5);
+    publishMany(simulation, 0, 3);
+    const copiedAt = simulation.now;
+    simulation.run(100);
+    simulation.publish(nodeAt(simulation, 0), 'first', 'same');
+    expect(simulation.runUntil(() => simulation.settlements.has('first'))).toBe(
+      true,
+    );
+    simulation.run(2000);
+    simulation.restoreLogTo(copiedAt);
+    // Appended before any node can detect the restore.
+    simulation.appendPastNodes('configuration', {
       kind: 'change',
       changeId: 'second',
       author: 'test',
@@ -133,82 +148,95 @@
         },
       ],
     });
-    world.run(2 * CONFIGURATION_MILLISECONDS);
-    expect(world.digests().size).toBe(1);
-    expect(allHave(world, 0, 3)).toBe(true);
-    const told = world.nodes.flatMap(({timeline}) => timeline);
-    expect(told).toContain('change-lost first');
+    simulation.run(2 * CONFIGURATION_MILLISECONDS);
+    expect(simulation.digests().size).toBe(1);
+    expect(haveCustomers(simulation, 0, 3)).toBe(true);
+    const events = simulation.nodes.flatMap(({timeline}) => timeline);
+    expect(events).toContain('change-lost first');
   });
 });
 
-/** Does one thing to a fleet whose log is restored again and again. */
-function disturb(world: ControlWorld, random: RandomSource): void {
-  const one = node(world, Math.floor(random() * world.nodes.length));
-  const away = node(world, Math.floor(random() * world.nodes.length)).box;
+/** Injects one random fault; a restore of the log is one of them. */
+function injectFault(simulation: ControlWorld, random: RandomSource): void {
+  const target = nodeAt(
+    simulation,
+    Math.floor(random() * simulation.nodes.length),
+  );
+  const unreachableBox = nodeAt(
+    simulation,
+    Math.floor(random() * simulation.nodes.length),
+  ).box;
   const faults = [
-    () => world.restoreLogTo(world.now - random() * 6000),
-    () => world.restoreLogTo(world.now - random() * 2000),
-    () => (world.usesLog = (box) => box !== away),
-    () => (world.reaches = (from, to) => from !== away && to !== away),
-    () => (world.reaches = (from) => from !== away),
-    () => (world.log.isAway = !world.log.isAway),
-    () => (world.log.losesConfirmations = !world.log.losesConfirmations),
-    () => world.stop(one),
-    () => one.isUp || world.start(one.box, one.dataCentre),
+    () => simulation.restoreLogTo(simulation.now - random() * 6000),
+    () => simulation.restoreLogTo(simulation.now - random() * 2000),
+    () => (simulation.usesLog = (box) => box !== unreachableBox),
+    () =>
+      (simulation.reaches = (from, to) =>
+        from !== unreachableBox && to !== unreachableBox),
+    () => (simulation.reaches = (from) => from !== unreachableBox),
+    () => (simulation.log.isAway = !simulation.log.isAway),
+    () =>
+      (simulation.log.losesConfirmations = !simulation.log.losesConfirmations),
+    () => simulation.stop(target),
+    () => target.isUp || simulation.start(target.box, target.dataCentre),
   ];
   faults[Math.floor(random() * faults.length)]?.();
 }
 
-/** Everything works again, and every node runs. */
-function heal(world: ControlWorld): void {
-  world.usesLog = () => true;
-  world.reaches = () => true;
-  world.log.isAway = false;
-  world.log.losesConfirmations = false;
-  world.nodes
+/** Ends all faults and starts the stopped nodes. */
+function endFaults(simulation: ControlWorld): void {
+  simulation.usesLog = () => true;
+  simulation.reaches = () => true;
+  simulation.log.isAway = false;
+  simulation.log.losesConfirmations = false;
+  simulation.nodes
     .filter(({isUp}) => !isUp)
-    .forEach(({box, dataCentre}) => world.start(box, dataCentre));
+    .forEach(({box, dataCentre}) => simulation.start(box, dataCentre));
 }
 
-/** What is wrong after a time of all kinds of faults; nothing is as it should be. */
+/** Returns the problems found after random faults; none are expected. */
 function problemsAfterFaults(seed: number): readonly string[] {
   const random = seededRandom(seed);
-  const world = startWorld(6, seed);
-  let offered = 0;
+  const simulation = startSimulation(6, seed);
+  let publishedCount = 0;
   for (let i = 0; i < 25; i += 1) {
-    disturb(world, random);
-    const up = world.nodes.filter(({isUp}) => isUp);
+    injectFault(simulation, random);
+    const up = simulation.nodes.filter(({isUp}) => isUp);
     const author = up[Math.floor(random() * up.length)];
     if (author !== undefined && random() < 0.6) {
-      world.publish(author, `change-${offered}`, `customer-${offered}`);
-      offered += 1;
+      simulation.publish(
+        author,
+        `change-${publishedCount}`,
+        `customer-${publishedCount}`,
+      );
+      publishedCount += 1;
     }
-    // One node at least keeps the fleet's memory.
+    // At least one node must keep the fleet's state in memory.
     if (up.length <= 2) {
-      heal(world);
+      endFaults(simulation);
     }
-    world.run(random() * 3000);
+    simulation.run(random() * 3000);
   }
-  heal(world);
-  world.publish(node(world, 0), 'last', 'last');
-  const agree = (): boolean =>
-    world.settlements.has('last') &&
-    world.digests().size === 1 &&
-    world.nodes.every(({brain}) => brain.isReady);
-  const found = world.runUntil(agree, 90_000) ? [] : ['no agreement'];
-  const told = new Set(world.nodes.flatMap(({timeline}) => timeline));
-  const {state} = node(world, 0).brain.keeper;
-  const lost = [...world.settlements].filter(
+  endFaults(simulation);
+  simulation.publish(nodeAt(simulation, 0), 'last', 'last');
+  const hasAgreed = (): boolean =>
+    simulation.settlements.has('last') &&
+    simulation.digests().size === 1 &&
+    simulation.nodes.every(({brain: stateMachine}) => stateMachine.isReady);
+  const found = simulation.runUntil(hasAgreed, 90_000) ? [] : ['no agreement'];
+  const events = new Set(simulation.nodes.flatMap(({timeline}) => timeline));
+  const {state} = nodeAt(simulation, 0).brain.keeper;
+  const lost = [...simulation.settlements].filter(
     ([changeId, settlement]) =>
       settlement.kind === 'outcome' &&
       settlement.outcome.kind === 'accepted' &&
       state.outcomeOf(changeId)?.kind !== 'accepted' &&
-      !told.has(`change-lost ${changeId}`),
+      !events.has(`change-lost ${changeId}`),
   );
   return [...found, ...lost.map(([changeId]) => `${changeId} is lost`)];
 }
 
-describe('a fleet to which anything happens while its log is restored', () => {
+describe('a fleet with random faults while its log is restored', () => {
   it('agrees again, and no accepted change is lost without a word', () => {
     const problems = Array.from({length: 20}, (_, i) => i + 1).flatMap((seed) =>
       problemsAfterFaults(seed).map((problem) => ({seed, problem})),
--- a/packages/brain/src/__tests__/truthOfRefusals.test.ts
+++ b/packages/brain/src/__tests__/truthOfRefusals.test.ts
@@ -1,5 +1,8 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** What is told as not run never runs, and a once key runs at most once. */
+/**
+ * Tests that a call refused as not run never runs, and that a once key runs at
+ * most once.
+ */
 
 import fc from 'fast-check';
 import {describe, expect, it} from 'vitest';
@@ -25,13 +28,13 @@
       readonly kind: 'answer';
       readonly call: number;
       readonly status: number;
-      readonly isKept: boolean;
+      readonly isStored: boolean;
     }
   | {readonly kind: 'fail'; readonly call: number; readonly wasSent: boolean}
   | {readonly kind: 'tick'; readonly milliseconds: number}
   | {readonly kind: 'drain' | 'restart' | 'leave'};
 
-const callNumber = fc.nat({max: 40});
+const callIndex = fc.nat({max: 40});
 
 const step: fc.Arbitrary<Step> = fc.oneof(
   {
@@ -48,23 +51,23 @@
     weight: 3,
     arbitrary: fc.record({
       kind: fc.constantFrom('cancel' as const, 'deadline' as const),
-      call: callNumber,
+      call: callIndex,
     }),
   },
   {
     weight: 8,
     arbitrary: fc.record({
       kind: fc.constant('answer' as const),
-      call: callNumber,
+      call: callIndex,
       status: fc.constantFrom(200, 404, 500),
-      isKept: fc.boolean(),
+      isStored: fc.boolean(),
     }),
   },
   {
     weight: 3,
     arbitrary: fc.record({
       kind: fc.constant('fail' as const),
-      call: callNumber,
+      call: callIndex,
       wasSent: fc.boolean(),
     }),
   },
@@ -87,26 +90,26 @@
   },
 );
 
-/** Records what a guard's callers were told and what its upstream ran. */
-class World {
-  readonly ran = new Map<string, string>();
-  readonly toldNotRun = new Set<string>();
-  readonly runsOfKey = new Map<string, number>();
-  /** Keys whose request was told as not run: a new key may be in use by now. */
-  readonly keysToldNotRun = new Set<string>();
+/** Runs a guard and records which calls it refused and which were run. */
+class GuardSimulation {
+  readonly incarnationByCall = new Map<string, string>();
+  readonly reportedNotRun = new Set<string>();
+  readonly runsByKey = new Map<string, number>();
+  /** Keys of calls reported as not run; new keys may be in use by now. */
+  readonly keysReportedNotRun = new Set<string>();
   answeredFromStore = 0;
   private now = 1_000_000;
-  private brain: GuardBrain;
+  private guard: GuardBrain;
   private readonly random = seededRandom(3);
-  private readonly keys: readonly string[];
-  private readonly calls: string[] = [];
+  private readonly onceKeys: readonly string[];
+  private readonly callIds: string[] = [];
   private readonly keyOfCall = new Map<string, string | undefined>();
   private incarnation = 1;
 
   constructor() {
-    this.brain = this.start('in-service');
+    this.guard = this.startGuard('in-service');
     const home = {box: 'box', incarnation: '1'};
-    this.keys = Array.from({length: KEYS}, (_, i) =>
+    this.onceKeys = Array.from({length: KEYS}, (_, i) =>
       mintOnceKey(this.now + i, this.random, home),
     );
   }
@@ -117,53 +120,60 @@
         this.offer(step);
         break;
       case 'cancel':
-        this.tell({kind: 'call-cancelled', callId: this.call(step.call)});
+        this.handleEvent({
+          kind: 'call-cancelled',
+          callId: this.callIdAt(step.call),
+        });
         break;
       case 'deadline':
-        this.tell({kind: 'call-deadline-passed', callId: this.call(step.call)});
+        this.handleEvent({
+          kind: 'call-deadline-passed',
+          callId: this.callIdAt(step.call),
+        });
         break;
       case 'answer':
         this.answer(step);
         break;
       case 'fail':
-        this.fail(this.call(step.call), step.wasSent);
+        this.fail(this.callIdAt(step.call), step.wasSent);
         break;
       case 'tick':
         this.now += step.milliseconds;
-        this.tell({kind: 'tick'});
+        this.handleEvent({kind: 'tick'});
         break;
       case 'drain':
-        this.tell(services('draining'));
+        this.handleEvent(createServicesEvent('draining'));
         break;
       case 'leave':
-        this.tell({kind: 'leaving'});
+        this.handleEvent({kind: 'leaving'});
         break;
       case 'restart':
         this.incarnation += 1;
-        this.brain = this.start('in-service');
+        this.guard = this.startGuard('in-service');
         break;
     }
   }
 
-  private start(state: 'in-service' | 'draining'): GuardBrain {
-    const brain = new GuardBrain({
+  private startGuard(state: 'in-service' | 'draining'): GuardBrain {
+    const guard = new GuardBrain({
       box: 'box',
       incarnation: String(this.incarnation),
     });
-    brain.handle(this.now, this.random, services(state));
-    return brain;
+    guard.handle(this.now, this.random, createServicesEvent(state));
+    return guard;
   }
 
-  private call(index: number): string {
-    return this.calls[index % (this.calls.length || 1)] ?? 'none';
+  private callIdAt(index: number): string {
+    return this.callIds[index % (this.callIds.length || 1)] ?? 'none';
   }
 
   private offer(step: Step & {readonly kind: 'offer'}): void {
-    const id = `call-${this.calls.length}`;
-    const onceKey = step.key === undefined ? undefined : this.keys[step.key];
-    this.calls.push(id);
+    const id = `call-${this.callIds.length}`;
+    const onceKey =
+      step.key === undefined ? undefined : this.onceKeys[step.key];
+    this.callIds.push(id);
     this.keyOfCall.set(id, onceKey);
-    this.tell({
+    this.handleEvent({
       kind: 'call-offered',
       call: {
         id,
@@ -183,17 +193,17 @@
     });
   }
 
-  /** An upstream can only answer what it was given. */
+  /** An upstream answers only calls that the current guard process ran. */
   private answer(step: Step & {readonly kind: 'answer'}): void {
-    const callId = this.call(step.call);
-    if (this.ran.get(callId) !== String(this.incarnation)) {
+    const callId = this.callIdAt(step.call);
+    if (this.incarnationByCall.get(callId) !== String(this.incarnation)) {
       return;
     }
-    const answer = step.isKept
+    const answer = step.isStored
       ? {status: step.status, headers: {}, body: new Uint8Array(3)}
       : undefined;
     const {status} = step;
-    this.tell({
+    this.handleEvent({
       kind: 'upstream-answered',
       callId,
       status,
@@ -203,43 +213,43 @@
   }
 
   private fail(callId: string, wasSent: boolean): void {
-    if (this.ran.get(callId) !== String(this.incarnation)) {
+    if (this.incarnationByCall.get(callId) !== String(this.incarnation)) {
       return;
     }
     if (!wasSent) {
-      this.unrun(callId);
+      this.withdrawRun(callId);
     }
-    this.tell({kind: 'upstream-failed', callId, wasSent});
+    this.handleEvent({kind: 'upstream-failed', callId, wasSent});
   }
 
-  /** The connection was refused: the upstream never saw the call. */
-  private unrun(callId: string): void {
-    this.ran.delete(callId);
+  /** The connection was refused, so the upstream never received the call. */
+  private withdrawRun(callId: string): void {
+    this.incarnationByCall.delete(callId);
     const key = this.keyOfCall.get(callId);
     if (key !== undefined) {
-      this.runsOfKey.set(key, (this.runsOfKey.get(key) ?? 0) - 1);
+      this.runsByKey.set(key, (this.runsByKey.get(key) ?? 0) - 1);
     }
   }
 
-  private tell(event: GuardEvent): void {
-    for (const action of this.brain.handle(this.now, this.random, event)) {
-      this.take(action);
+  private handleEvent(event: GuardEvent): void {
+    for (const action of this.guard.handle(this.now, this.random, event)) {
+      this.performAction(action);
     }
   }
 
-  private take(action: GuardAction): void {
+  private performAction(action: GuardAction): void {
     if (action.kind === 'run') {
-      this.ran.set(action.callId, String(this.incarnation));
+      this.incarnationByCall.set(action.callId, String(this.incarnation));
       const key = this.keyOfCall.get(action.callId);
       if (key !== undefined) {
-        this.runsOfKey.set(key, (this.runsOfKey.get(key) ?? 0) + 1);
+        this.runsByKey.set(key, (this.runsByKey.get(key) ?? 0) + 1);
       }
     } else if (action.kind === 'refuse') {
       if (action.refusal.outcome === 'not-run') {
-        this.toldNotRun.add(action.callId);
+        this.reportedNotRun.add(action.callId);
         const key = this.keyOfCall.get(action.callId);
         if (key !== undefined && action.refusal.reason !== 'once-key-reused') {
-          this.keysToldNotRun.add(key);
+          this.keysReportedNotRun.add(key);
         }
       }
     } else if (action.kind === 'answer-stored') {
@@ -248,7 +258,7 @@
   }
 }
 
-function services(state: 'in-service' | 'draining'): GuardEvent {
+function createServicesEvent(state: 'in-service' | 'draining'): GuardEvent {
   const upstream: Resource<'Upstream'> = {
     kind: 'Upstream',
     name: `${SERVICE}/upstream`,
@@ -269,26 +279,26 @@
 }
 
 describe('a guard', () => {
-  it('never runs what it called not run, and runs a key at most once', () => {
+  it('never runs a call it reported as not run, and runs a key at most once', () => {
     let refusals = 0;
     let stored = 0;
     fc.assert(
       fc.property(fc.array(step, {minLength: 20, maxLength: 120}), (steps) => {
-        const world = new World();
+        const simulation = new GuardSimulation();
         for (const next of steps) {
-          world.run(next);
-          const broken = [...world.toldNotRun].filter((id) =>
-            world.ran.has(id),
+          simulation.run(next);
+          const violations = [...simulation.reportedNotRun].filter((id) =>
+            simulation.incarnationByCall.has(id),
           );
-          expect(broken).toEqual([]);
-          expect(Math.max(0, ...world.runsOfKey.values())).toBeLessThan(2);
+          expect(violations).toEqual([]);
+          expect(Math.max(0, ...simulation.runsByKey.values())).toBeLessThan(2);
         }
-        refusals += world.toldNotRun.size;
-        stored += world.answeredFromStore;
+        refusals += simulation.reportedNotRun.size;
+        stored += simulation.answeredFromStore;
       }),
       {numRuns: 600, seed: 11},
     );
-    // The property says something only where refusals and repeats came up.
+    // The property is vacuous unless refusals and stored answers occur.
     expect(refusals).toBeGreaterThan(100);
     expect(stored).toBeGreaterThan(100);
   });
