--- a/packages/logger/src/index.ts
+++ b/packages/logger/src/index.ts
@@ -1,20 +1,22 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Structured JSON log lines by loglevel, one line an event, on standard error. */
+/**
+ * Structured logging with loglevel: one JSON line per event on standard error.
+ */
 
 import loglevel from 'loglevel';
 
-/** Levels a setting can name, least severe first. */
+/** Log levels that can be configured, least severe first. */
 export const LOG_LEVELS = ['trace', 'debug', 'info', 'warn', 'error'] as const;
 
-/** One of the levels. */
+/** A log level. */
 export type LogLevel = (typeof LOG_LEVELS)[number];
 
-/** Fields of a line besides its message; never a secret. */
+/** Additional fields of a log line; must not contain secrets. */
 export type LogFields = Readonly<
   Record<string, string | number | boolean | undefined>
 >;
 
-/** Writes lines that all carry the process's own fields. */
+/** Writes log lines that include the fields common to the process. */
 export interface Logger {
   readonly debug: (message: string, fields?: LogFields) => void;
   readonly info: (message: string, fields?: LogFields) => void;
@@ -22,10 +24,10 @@
   readonly error: (message: string, fields?: LogFields) => void;
 }
 
-/** Where lines go; a function so that a test can keep them. */
+/** Output of a logger; replaced in tests to capture the lines. */
 export type LineWriter = (line: string) => void;
 
-/** Makes a logger whose lines carry the given fields. */
+/** Creates a logger whose lines include the given common fields. */
 export function createLogger(
   level: LogLevel,
   common: LogFields,
--- a/packages/node/src/__tests__/keyConfirmation.test.ts
+++ b/packages/node/src/__tests__/keyConfirmation.test.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Requests whose key is unknown wait for a reader's word, for a bounded time. */
+/** Requests with an unknown key wait a limited time for a reader's reply. */
 
 import {afterEach, beforeEach, describe, expect, it, vi} from 'vitest';
 import {KeyConfirmation} from '../process/keyConfirmation.js';
@@ -8,21 +8,21 @@
 afterEach(() => void vi.useRealTimers());
 
 describe('KeyConfirmation', () => {
-  it('tells all that wait what the reader says', async () => {
+  it('passes the reply of the reader to all waiting requests', async () => {
     const keys = new KeyConfirmation(() => true);
     const waiting = [keys.confirm(), keys.confirm()];
     keys.answered(true);
     expect(await Promise.all(waiting)).toEqual([true, true]);
   });
 
-  it('gives up on a reader that says nothing', async () => {
+  it('times out if the reader does not reply', async () => {
     const keys = new KeyConfirmation(() => true);
     const waiting = keys.confirm();
     await vi.advanceTimersByTimeAsync(300);
     expect(await waiting).toBe(false);
   });
 
-  it('waits for nothing where nobody can be asked', async () => {
+  it('does not wait if no reader is reachable', async () => {
     const keys = new KeyConfirmation(() => false);
     expect(await keys.confirm()).toBe(false);
   });
--- a/packages/node/src/__tests__/settings.test.ts
+++ b/packages/node/src/__tests__/settings.test.ts
@@ -4,7 +4,7 @@
 import {afterEach, describe, expect, it} from 'vitest';
 import {readSettings} from '../settings/readSettings.js';
 
-const NEEDED = [
+const REQUIRED = [
   '--box=box-1',
   '--data-centre=one',
   '--caller-address=127.0.0.1:7000',
@@ -21,8 +21,8 @@
 });
 
 describe('readSettings', () => {
-  it('fills in what may be left out', async () => {
-    const {settings, isCheck} = await readSettings(NEEDED);
+  it('applies defaults to optional settings', async () => {
+    const {settings, isCheck} = await readSettings(REQUIRED);
     expect(isCheck).toBe(false);
     expect(settings).toMatchObject({
       ok: true,
@@ -30,28 +30,28 @@
     });
   });
 
-  it('reads the environment, and lets a flag win', async () => {
+  it('reads the environment, which flags override', async () => {
     process.env['LOCKPIN_BOX'] = 'from-environment';
-    const without = NEEDED.filter((flag) => !flag.startsWith('--box='));
+    const without = REQUIRED.filter((flag) => !flag.startsWith('--box='));
     expect((await readSettings(without)).settings).toMatchObject({
       value: {box: 'from-environment'},
     });
-    expect((await readSettings(NEEDED)).settings).toMatchObject({
+    expect((await readSettings(REQUIRED)).settings).toMatchObject({
       value: {box: 'box-1'},
     });
   });
 
-  it('passes over variables of the command line and of others', async () => {
+  it('ignores variables of the command line and of other programs', async () => {
     process.env['LOCKPIN_TOKEN'] = 'name.secret';
     process.env['LOCKPIN_STOP_LIMIT_MILLISECONDS'] = '5000';
-    expect((await readSettings(NEEDED)).settings).toMatchObject({
+    expect((await readSettings(REQUIRED)).settings).toMatchObject({
       ok: true,
       value: {stopLimitMilliseconds: 5000},
     });
   });
 
-  it('names the flag and the mend when an address is a name', async () => {
-    const args = NEEDED.filter((flag) => !flag.startsWith('--log-'));
+  it('names the flag and the correction when an address is a host name', async () => {
+    const args = REQUIRED.filter((flag) => !flag.startsWith('--log-'));
     const {settings} = await readSettings([...args, '--log-address=log:9000']);
     expect(settings).toEqual({
       ok: false,
--- a/packages/node/src/__tests__/suspension.test.ts
+++ b/packages/node/src/__tests__/suspension.test.ts
@@ -1,8 +1,8 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
 /**
- * What a node holds to be true after its machine was suspended for a minute, by a clock
- * that counts the time and by one that stood still: each promise is kept by the first
- * and would be broken by the second.
+ * Guarantees of a node after its machine was suspended for a minute. Each holds
+ * with a clock that includes the suspension and would be broken by one that
+ * stopped meanwhile.
  */
 
 import {describe, expect, it} from 'vitest';
@@ -18,37 +18,37 @@
 
 const FENCE = {era: 1, offset: 7};
 
-/** Reads the time that a node goes by. */
+/** Returns the time used by a node. */
 type ReadClock = () => number;
 
 class Machine {
-  private ran = 0;
-  private slept = 0;
-  private readonly counting = new CountingClock({
-    steady: () => this.ran,
-    timeOfDay: () => EPOCH + this.ran + this.slept,
-    sinceBoot: () => this.ran + this.slept,
+  private ranMilliseconds = 0;
+  private suspendedMilliseconds = 0;
+  private readonly suspendAwareClock = new CountingClock({
+    steady: () => this.ranMilliseconds,
+    timeOfDay: () => EPOCH + this.ranMilliseconds + this.suspendedMilliseconds,
+    sinceBoot: () => this.ranMilliseconds + this.suspendedMilliseconds,
   });
 
-  /** A clock that goes on while the machine is suspended. */
-  readonly goesOn: ReadClock = () => this.counting.now();
+  /** A clock that includes the time of a suspension. */
+  readonly includesSuspension: ReadClock = () => this.suspendAwareClock.now();
 
-  /** A clock that stands still meanwhile. */
-  readonly standsStill: ReadClock = () => EPOCH + this.ran;
+  /** A clock that stops during a suspension. */
+  readonly stopsMeanwhile: ReadClock = () => EPOCH + this.ranMilliseconds;
 
-  /** The time on all other machines. */
+  /** The time on other machines. */
   get elsewhere(): number {
-    return EPOCH + this.ran + this.slept;
+    return EPOCH + this.ranMilliseconds + this.suspendedMilliseconds;
   }
 
-  runs(milliseconds: number): void {
-    this.ran += milliseconds;
-    this.counting.now();
+  run(milliseconds: number): void {
+    this.ranMilliseconds += milliseconds;
+    this.suspendAwareClock.now();
   }
 
-  isSuspended(milliseconds: number): void {
-    this.slept += milliseconds;
-    this.runs(1);
+  suspend(milliseconds: number): void {
+    this.suspendedMilliseconds += milliseconds;
+    this.run(1);
   }
 }
 
@@ -67,8 +67,10 @@
   };
 }
 
-/** Slots that a holder takes to be in service a minute after it last heard of any. */
-function slotsAfterMinute(clockOf: (machine: Machine) => ReadClock): number {
+/** Slots that a holder counts as in service a minute after the last reports. */
+function slotsAfterSuspension(
+  clockOf: (machine: Machine) => ReadClock,
+): number {
   const machine = new Machine();
   const now = clockOf(machine);
   const upstreams = ['a', 'b'].map((name) => ({
@@ -79,12 +81,12 @@
   const view = {floorSlots: 4, settleMilliseconds: 200, upstreams};
   const holder = new PermitHolder(FENCE, view);
   ['a', 'b'].forEach((name) => holder.report(now(), report(name)));
-  machine.isSuspended(MINUTE);
+  machine.suspend(MINUTE);
   return holder.availableSlots(now());
 }
 
-/** Whether calls from before the minute pay for a retry after it. */
-function hasRetryAfterMinute(
+/** Whether calls from before the suspension permit a retry after it. */
+function hasRetryAfterSuspension(
   clockOf: (machine: Machine) => ReadClock,
 ): boolean {
   const machine = new Machine();
@@ -95,42 +97,46 @@
     extra: 0,
   }));
   for (let i = 0; i < 100; i += 1) {
-    machine.runs(10);
+    machine.run(10);
     budget.firstAttempt(now());
   }
-  machine.isSuspended(MINUTE);
+  machine.suspend(MINUTE);
   return budget.hasRetry(now());
 }
 
-/** What the home of a key that was minted elsewhere meanwhile says to it. */
-function keyAfterMinute(clockOf: (machine: Machine) => ReadClock): string {
+/**
+ * How the home box answers a once key that was minted elsewhere during the
+ * suspension.
+ */
+function keyAfterSuspension(clockOf: (machine: Machine) => ReadClock): string {
   const machine = new Machine();
   const now = clockOf(machine);
   const home = {box: 'box', incarnation: 'a'};
   const ledger = new OnceLedger(home);
-  machine.isSuspended(2 * MINUTE);
+  machine.suspend(2 * MINUTE);
   const text = mintOnceKey(machine.elsewhere, seededRandom(1), home);
   const key = parseOnceKey(text);
   return key === undefined ? 'none' : ledger.begin(now(), key, '').kind;
 }
 
-const goesOn = ({goesOn: clock}: Machine): ReadClock => clock;
+const includesSuspension = ({includesSuspension: clock}: Machine): ReadClock =>
+  clock;
 
-const standsStill = ({standsStill: clock}: Machine): ReadClock => clock;
+const stopsMeanwhile = ({stopsMeanwhile: clock}: Machine): ReadClock => clock;
 
 describe('after a suspension', () => {
   it('no upstream counts as in service that was not heard of since', () => {
-    expect(slotsAfterMinute(goesOn)).toBe(0);
-    expect(slotsAfterMinute(standsStill)).toBe(8);
+    expect(slotsAfterSuspension(includesSuspension)).toBe(0);
+    expect(slotsAfterSuspension(stopsMeanwhile)).toBe(8);
   });
 
   it('calls from before pay for no retry', () => {
-    expect(hasRetryAfterMinute(goesOn)).toBe(false);
-    expect(hasRetryAfterMinute(standsStill)).toBe(true);
+    expect(hasRetryAfterSuspension(includesSuspension)).toBe(false);
+    expect(hasRetryAfterSuspension(stopsMeanwhile)).toBe(true);
   });
 
   it('once keys that were minted meanwhile run', () => {
-    expect(keyAfterMinute(goesOn)).toBe('run');
-    expect(keyAfterMinute(standsStill)).toBe('expired');
+    expect(keyAfterSuspension(includesSuspension)).toBe('run');
+    expect(keyAfterSuspension(stopsMeanwhile)).toBe('expired');
   });
 });
--- a/packages/node/src/connection/boxListClient.ts
+++ b/packages/node/src/connection/boxListClient.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** The platform's list of live and leaving boxes over HTTP. */
+/** HTTP client of the platform's list of live and leaving boxes. */
 
 import type {ListedBox} from '@lockpin/brain';
 import {Pool} from 'undici';
@@ -7,7 +7,7 @@
 
 const TIMEOUT_MILLISECONDS = 3000;
 
-/** Reads the list; undefined when the platform does not answer. */
+/** Reads the list; the result is undefined if the platform does not answer. */
 export class BoxListClient {
   private readonly pool: Pool;
 
@@ -27,10 +27,10 @@
       });
       const text = await body.text();
       this.traffic.received('boxList', text.length);
-      const answer = JSON.parse(text) as {
+      const response = JSON.parse(text) as {
         readonly boxes: readonly ListedBox[];
       };
-      return statusCode === 200 ? answer.boxes : undefined;
+      return statusCode === 200 ? response.boxes : undefined;
     } catch {
       return undefined;
     }
--- a/packages/node/src/connection/codec.ts
+++ b/packages/node/src/connection/codec.ts
@@ -1,58 +1,59 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Encoding of messages between nodes: MessagePack by msgpackr. */
+/** Encoding of messages between nodes: MessagePack with msgpackr. */
 
 import {deflateRawSync, inflateRawSync} from 'node:zlib';
 import {FLOAT32_OPTIONS, Packr} from 'msgpackr';
 
-/** Names of fields that recur in a message are written once in it. */
+/** Field names that recur in a message are encoded once. */
 const packr = new Packr({
   useRecords: true,
   useFloat32: FLOAT32_OPTIONS.DECIMAL_FIT,
 });
 
-/** Encodes a message; its bytes are its own. */
+/** Encodes a message into a buffer that is not shared with other messages. */
 export function encode(message: unknown): Buffer {
   return Buffer.from(packr.pack(message));
 }
 
-/** Decodes a message that a node of this release encoded. */
+/** Decodes a message encoded by a node of the same release. */
 export function decode<T>(bytes: Uint8Array): T {
   return packr.unpack(bytes) as T;
 }
 
-/** Messages from this size on are worth the time that compressing them takes. */
-const LEAST_COMPRESSED_BYTES = 1024;
+/** Smaller messages are not worth the processor time of compression. */
+const MINIMUM_COMPRESSED_BYTES = 1024;
 
-/** The first byte of a document says how the rest is to be read. */
+/** The first byte of a document gives the encoding of the rest. */
 const PLAIN = 0;
 const DEFLATED = 1;
 
-/** What documents that are sent to many came to. */
+/** Encoded forms of documents that are sent to many nodes. */
 const encodedDocuments = new WeakMap<object, Buffer>();
 
 /**
- * Encodes a message that may be a large document, such as a configuration, whose
- * routes differ little from each other. Bytes between data centres are paid for. The
- * same document is encoded once, however many nodes ask for it at a time.
+ * Encodes a message that may be large, such as a configuration, and compresses
+ * it: the routes of a configuration differ little from each other, and traffic
+ * between data centres is paid for. The encoded form is cached, so that each
+ * document is encoded once, regardless of how many nodes request it.
  */
 export function encodeDocument(message: object): Buffer {
-  const known = encodedDocuments.get(message);
-  if (known !== undefined) {
-    return known;
+  const cached = encodedDocuments.get(message);
+  if (cached !== undefined) {
+    return cached;
   }
-  const bytes = documentBytes(message);
+  const bytes = compress(message);
   encodedDocuments.set(message, bytes);
   return bytes;
 }
 
-function documentBytes(message: object): Buffer {
+function compress(message: object): Buffer {
   const plain = encode(message);
-  return plain.length < LEAST_COMPRESSED_BYTES
+  return plain.length < MINIMUM_COMPRESSED_BYTES
     ? Buffer.concat([Buffer.from([PLAIN]), plain])
     : Buffer.concat([Buffer.from([DEFLATED]), deflateRawSync(plain)]);
 }
 
-/** Decodes a document that a node of this release encoded. */
+/** Decodes a document encoded by a node of the same release. */
 export function decodeDocument<T>(bytes: Buffer): T {
   const rest = bytes.subarray(1);
   return decode(bytes[0] === DEFLATED ? inflateRawSync(rest) : rest);
--- a/packages/node/src/connection/datagramSocket.ts
+++ b/packages/node/src/connection/datagramSocket.ts
@@ -9,7 +9,7 @@
 import type {ControlTraffic} from '../process/controlTraffic.js';
 import {decode, encode} from './codec.js';
 
-/** Sends and receives datagrams on one address. */
+/** Sends and receives membership datagrams on one address. */
 export class DatagramSocket {
   private readonly socket: Socket;
   constructor(
@@ -48,7 +48,7 @@
     this.socket.close();
   }
 
-  /** Bytes that are no datagram of ours are dropped. */
+  /** Drops packets that are not valid datagrams. */
   private receive(bytes: Buffer): void {
     this.traffic.received('datagrams', bytes.length);
     const datagram = tryDecode(bytes);
@@ -61,13 +61,13 @@
 function tryDecode(bytes: Buffer): Datagram | undefined {
   try {
     const datagram = decode<Partial<Datagram> | null>(bytes);
-    const isWhole =
+    const isValid =
       typeof datagram?.kind === 'string' &&
       typeof datagram.from?.box === 'string' &&
       Array.isArray(datagram.news) &&
       typeof datagram.version === 'number' &&
       typeof datagram.time?.milliseconds === 'number';
-    return isWhole ? (datagram as Datagram) : undefined;
+    return isValid ? (datagram as Datagram) : undefined;
   } catch {
     return undefined;
   }
--- a/packages/node/src/connection/httpServer.ts
+++ b/packages/node/src/connection/httpServer.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Starts and stops an HTTP server around a tinyhttp app. */
+/** Starts HTTP servers. */
 
 import {createServer} from 'node:http';
 import type {IncomingMessage, Server, ServerResponse} from 'node:http';
@@ -8,16 +8,19 @@
 
 const HEADERS_TIMEOUT_MILLISECONDS = 10_000;
 const KEEP_ALIVE_MILLISECONDS = 60_000;
-/** Twice what operators usually allow, so that the allowed size surely passes. */
-const LARGEST_HEADERS_BYTES = 32 * 1024;
+/**
+ * Twice the limit that operators usually set, so that headers within it always
+ * pass.
+ */
+const MAXIMUM_HEADERS_BYTES = 32 * 1024;
 
-/** Handles one request. */
+/** Handles an HTTP request. */
 export type RequestHandler = (
   request: IncomingMessage,
   response: ServerResponse,
 ) => void;
 
-/** Listens on an address; rejects when it is taken. */
+/** Listens on an address; rejects if the address is in use. */
 export async function startHttpServer(
   address: string,
   handler: RequestHandler,
@@ -25,7 +28,7 @@
   const {host, port} = parseAddress(address) ?? {host: '', port: 0};
   const server = createServer(
     {
-      maxHeaderSize: LARGEST_HEADERS_BYTES,
+      maxHeaderSize: MAXIMUM_HEADERS_BYTES,
       headersTimeout: HEADERS_TIMEOUT_MILLISECONDS,
       keepAliveTimeout: KEEP_ALIVE_MILLISECONDS,
       requestTimeout: 0,
@@ -44,7 +47,7 @@
   return server;
 }
 
-/** Bytes that are no HTTP get a plain refusal, and the connection is closed. */
+/** Answers invalid HTTP with an error response and closes the connection. */
 function answerBadRequest(error: NodeJS.ErrnoException, socket: Duplex): void {
   if (error.code === 'ECONNRESET' || !socket.writable) {
     socket.destroy();
--- a/packages/node/src/connection/logClient.ts
+++ b/packages/node/src/connection/logClient.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** The platform's log service over HTTP. */
+/** HTTP client of the platform's log service. */
 
 import type {AppendResult, LogReadResult, StreamName} from '@lockpin/brain';
 import type {Era, LogRecord} from '@lockpin/types';
@@ -7,16 +7,19 @@
 import type {ControlTraffic} from '../process/controlTraffic.js';
 
 const READ_LIMIT = 500;
-const ANSWER_MARGIN_MILLISECONDS = 3000;
+const READ_TIMEOUT_MARGIN_MILLISECONDS = 3000;
 const APPEND_TIMEOUT_MILLISECONDS = 5000;
 
-/** A poll of each stream, and of two anew while those before the restore still wait. */
+/**
+ * One long poll for each stream, and two more for streams that are read again
+ * after a restore while their earlier polls are still pending.
+ */
 const READ_CONNECTIONS = 6;
 
-/** Apart from reads: an append must not wait until a poll has ended. */
+/** Separate from reads, so that appends do not wait for long polls to end. */
 const APPEND_CONNECTIONS = 2;
 
-/** Errors after which the log certainly has not seen the request. */
+/** Errors after which the log certainly has not received the request. */
 const NOT_SENT_CODES: ReadonlySet<string> = new Set([
   'ECONNREFUSED',
   'EHOSTUNREACH',
@@ -24,23 +27,25 @@
   'UND_ERR_CONNECT_TIMEOUT',
 ]);
 
-interface ReadAnswer {
+interface ReadResponse {
   readonly era?: unknown;
   readonly first: number;
   readonly next: number;
   readonly records: readonly LogRecord<unknown>[];
 }
 
-interface AppendAnswer {
+interface AppendResponse {
   readonly era?: unknown;
   readonly offset: number;
 }
 
-/** A log that does not tell its era was never restored. */
+/** Era of a log that does not report one. */
 const NEVER_RESTORED: Era = 0;
 
-/** Undefined for an era that is none: nothing can be concluded from its answer. */
-function eraOf({
+/**
+ * Returns undefined for an invalid era; such a response cannot be interpreted.
+ */
+function parseEra({
   era = NEVER_RESTORED,
 }: {
   readonly era?: unknown;
@@ -50,7 +55,10 @@
     : undefined;
 }
 
-/** Appends to and reads from streams; every failure is a typed result. */
+/**
+ * Appends to and reads from streams; every failure is reported as a typed
+ * result.
+ */
 export class LogClient {
   private readonly reads: Pool;
   private readonly appends: Pool;
@@ -80,17 +88,17 @@
         method: 'GET',
         path: `/streams/${stream}/records?${query}`,
         signal: AbortSignal.timeout(
-          waitMilliseconds + ANSWER_MARGIN_MILLISECONDS,
+          waitMilliseconds + READ_TIMEOUT_MARGIN_MILLISECONDS,
         ),
       });
       const text = await body.text();
       this.traffic.received('log', text.length);
-      const answer = JSON.parse(text) as ReadAnswer;
-      const era = eraOf(answer);
+      const response = JSON.parse(text) as ReadResponse;
+      const era = parseEra(response);
       if (era === undefined) {
         return {kind: 'unreachable'};
       }
-      const {first, next, records} = answer;
+      const {first, next, records} = response;
       if (statusCode === 410) {
         return {kind: 'expired', era, first, next};
       }
@@ -114,11 +122,11 @@
         signal: AbortSignal.timeout(APPEND_TIMEOUT_MILLISECONDS),
       });
       if (statusCode === 201) {
-        const answer = (await body.json()) as AppendAnswer;
-        const era = eraOf(answer);
+        const response = (await body.json()) as AppendResponse;
+        const era = parseEra(response);
         return era === undefined
           ? {kind: 'unknown'}
-          : {kind: 'confirmed', era, offset: answer.offset};
+          : {kind: 'confirmed', era, offset: response.offset};
       }
       await body.dump();
       return statusCode === 429 ? {kind: 'not-appended'} : {kind: 'unknown'};
@@ -134,7 +142,7 @@
   }
 }
 
-/** The code of a network error, or nothing. */
+/** Returns the code of a network error, or an empty text if it has none. */
 export function errorCode(error: unknown): string {
   return (error as {readonly code?: string} | undefined)?.code ?? '';
 }
--- a/packages/node/src/connection/lookAtAddress.ts
+++ b/packages/node/src/connection/lookAtAddress.ts
@@ -1,20 +1,26 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Whether a process listens at an address. */
+/** Checks whether a process listens on an address. */
 
 import {connect} from 'node:net';
 import type {Presence} from '@lockpin/quarantine';
 import {parseAddress} from '@lockpin/utils';
 
-/** On its own box an address answers within a turn of the loop, or stands still. */
-const LOOK_MILLISECONDS = 200;
+/**
+ * A process on the same box accepts or refuses a connection within one event
+ * loop iteration, unless it hangs.
+ */
+const CHECK_TIMEOUT_MILLISECONDS = 200;
 
-/** What a refused connection is called; any other failure says less. */
+/**
+ * Error code of a refused connection; other errors do not show whether it
+ * listens.
+ */
 const REFUSED = 'ECONNREFUSED';
 
-/** Connects, and closes the connection at once. */
+/** Opens a connection and closes it immediately. */
 export function lookAtAddress(
   address: string,
-  done: (presence: Presence) => void,
+  done: (state: Presence) => void,
 ): void {
   const parsed = parseAddress(address);
   if (parsed === undefined) {
@@ -22,17 +28,17 @@
     return;
   }
   const socket = connect(parsed);
-  const timer = setTimeout(() => end('unknown'), LOOK_MILLISECONDS);
-  function end(presence: Presence): void {
+  const timer = setTimeout(() => finish('unknown'), CHECK_TIMEOUT_MILLISECONDS);
+  function finish(state: Presence): void {
     clearTimeout(timer);
     socket.removeAllListeners();
-    // An error that comes after the end tells nothing more.
+    // Errors after the result are ignored.
     socket.on('error', () => undefined);
     socket.destroy();
-    done(presence);
+    done(state);
   }
-  socket.once('connect', () => end('there'));
+  socket.once('connect', () => finish('there'));
   socket.once('error', (error: NodeJS.ErrnoException) =>
-    end(error.code === REFUSED ? 'gone' : 'unknown'),
+    finish(error.code === REFUSED ? 'gone' : 'unknown'),
   );
 }
--- a/packages/node/src/connection/peerChannels.ts
+++ b/packages/node/src/connection/peerChannels.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Connections to other nodes, made when needed and dropped when long unused. */
+/** Connections to other nodes, opened on demand and closed when long unused. */
 
 import grpc from '@grpc/grpc-js';
 import type {PeerReply, PeerRequest} from '@lockpin/brain';
@@ -8,18 +8,21 @@
 import {createPeerClient} from './peerProtocol.js';
 import type {PeerClient} from './peerProtocol.js';
 
-/** Connections kept; the one unused longest goes first. */
-const MOST_CHANNELS = 256;
+/** Maximum number of open channels; the least recently used is closed first. */
+const MAXIMUM_CHANNELS = 256;
 
 const EXCHANGE_DEADLINE_MILLISECONDS = 2500;
 
-/** No call is under way this long after its channel was renewed. */
+/** Longer than any call in flight on a channel that was renewed. */
 const RENEWED_CLOSE_MILLISECONDS = 30_000;
 
-/** Why a channel was renewed: an exchange timed out, or a stream went silent. */
+/**
+ * Why a channel was renewed: an exchange timed out, or a stream stopped
+ * receiving.
+ */
 export type RenewalCause = 'exchange-unanswered' | 'stream-silent';
 
-/** One channel for each address, least recently used dropped first. */
+/** One channel for each address, evicted in least recently used order. */
 export class PeerChannels<
   Request extends object = PeerRequest,
   Reply extends object = PeerReply,
@@ -35,7 +38,7 @@
     ) => void = () => undefined,
   ) {}
 
-  /** The client of an address. */
+  /** Returns the client of an address and marks it as recently used. */
   client(address: string): PeerClient {
     const found = this.clients.get(address);
     if (found !== undefined) {
@@ -43,23 +46,26 @@
       this.clients.set(address, found);
       return found;
     }
-    const made = createPeerClient(address);
-    this.clients.set(address, made);
+    const created = createPeerClient(address);
+    this.clients.set(address, created);
     this.dropUnused();
-    return made;
+    return created;
   }
 
-  /** Sends a control message; undefined when the peer does not answer. */
+  /**
+   * Sends a control message; the reply is undefined if the peer does not
+   * answer.
+   */
   exchange(
     address: string,
     request: Request,
     done: (reply: Reply | undefined) => void,
   ): void {
     const deadline = Date.now() + EXCHANGE_DEADLINE_MILLISECONDS;
-    const sent = encodeDocument(request);
-    this.traffic.sent('exchanges', sent.length);
+    const encoded = encodeDocument(request);
+    this.traffic.sent('exchanges', encoded.length);
     const client = this.client(address);
-    client.exchange(sent, {deadline}, (error, bytes) => {
+    client.exchange(encoded, {deadline}, (error, bytes) => {
       this.traffic.received('exchanges', bytes?.length ?? 0);
       const isUnanswered = error?.code === grpc.status.DEADLINE_EXCEEDED;
       // Exchanges that time out on the same client renew the channel only once.
@@ -71,8 +77,8 @@
   }
 
   /**
-   * The next call to an address gets a connection of its own; calls under way
-   * on the present one may still end.
+   * Makes the next call to an address use a new connection; calls in flight on
+   * the current one may still finish.
    */
   renew(address: string, cause: RenewalCause): void {
     const client = this.clients.get(address);
@@ -89,7 +95,7 @@
   }
 
   private dropUnused(): void {
-    if (this.clients.size <= MOST_CHANNELS) {
+    if (this.clients.size <= MAXIMUM_CHANNELS) {
       return;
     }
     const [address, client] = this.clients.entries().next().value as [
--- a/packages/node/src/connection/peerProtocol.ts
+++ b/packages/node/src/connection/peerProtocol.ts
@@ -1,11 +1,14 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** The gRPC service between nodes, defined here so that no generator is needed. */
+/**
+ * The gRPC service between nodes, defined in code so that no generator is
+ * needed.
+ */
 
 import grpc from '@grpc/grpc-js';
 
 const identity = (bytes: Buffer): Buffer => bytes;
 
-const bytesBothWays = {
+const rawBytes = {
   requestSerialize: identity,
   requestDeserialize: identity,
   responseSerialize: identity,
@@ -13,31 +16,32 @@
 };
 
 /**
- * Exchanges carries many exchanges with upstreams on one stream; Call one whose
- * request body is streamed; Exchange one control message.
+ * Exchanges multiplexes exchanges with upstreams on one stream, Call carries
+ * one exchange with a streamed request body, and Exchange carries one control
+ * message.
  */
 export const peerService = {
   call: {
     path: '/lockpin.Peer/Call',
     requestStream: true,
     responseStream: true,
-    ...bytesBothWays,
+    ...rawBytes,
   },
   exchanges: {
     path: '/lockpin.Peer/Exchanges',
     requestStream: true,
     responseStream: true,
-    ...bytesBothWays,
+    ...rawBytes,
   },
   exchange: {
     path: '/lockpin.Peer/Exchange',
     requestStream: false,
     responseStream: false,
-    ...bytesBothWays,
+    ...rawBytes,
   },
 } as const satisfies grpc.ServiceDefinition;
 
-/** A client of the service. */
+/** A client of the peer service. */
 export interface PeerClient extends grpc.Client {
   call(): grpc.ClientDuplexStream<Buffer, Buffer>;
   exchanges(): grpc.ClientDuplexStream<Buffer, Buffer>;
@@ -48,14 +52,17 @@
   ): grpc.ClientUnaryCall;
 }
 
-const LARGEST_MESSAGE_BYTES = 4 * 1024 * 1024;
+const MAXIMUM_MESSAGE_BYTES = 4 * 1024 * 1024;
 
-/** Options that both sides use. lockpin retries by itself, and truthfully. */
+/**
+ * Channel options of clients and servers. gRPC retries are off: lockpin itself
+ * retries, and only calls that may run again.
+ */
 export const CHANNEL_OPTIONS: grpc.ChannelOptions = {
   'grpc.enable_retries': 0,
   'grpc.service_config_disable_resolution': 1,
-  'grpc.max_receive_message_length': LARGEST_MESSAGE_BYTES,
-  'grpc.max_send_message_length': LARGEST_MESSAGE_BYTES,
+  'grpc.max_receive_message_length': MAXIMUM_MESSAGE_BYTES,
+  'grpc.max_send_message_length': MAXIMUM_MESSAGE_BYTES,
   'grpc.initial_reconnect_backoff_ms': 100,
   'grpc.min_reconnect_backoff_ms': 100,
   'grpc.max_reconnect_backoff_ms': 2000,
@@ -70,7 +77,7 @@
   'lockpin.Peer',
 );
 
-/** Connects lazily to a node. */
+/** Creates a client of a node; it connects on first use. */
 export function createPeerClient(address: string): PeerClient {
   const credentials = grpc.credentials.createInsecure();
   return new GenericClient(
--- a/packages/node/src/connection/peerServer.ts
+++ b/packages/node/src/connection/peerServer.ts
@@ -1,5 +1,7 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Serves other nodes: their calls to this box's upstreams, and control. */
+/**
+ * Serves other nodes: calls to the upstreams of this box, and control messages.
+ */
 
 import grpc from '@grpc/grpc-js';
 import type {PeerReply, PeerRequest} from '@lockpin/brain';
@@ -7,13 +9,13 @@
 import {decodeDocument, encodeDocument} from './codec.js';
 import {CHANNEL_OPTIONS, peerService} from './peerProtocol.js';
 
-/** What the server hands on. */
+/** Handlers of the methods of the peer service. */
 export interface PeerServerHandlers<
   Request extends object = PeerRequest,
   Reply extends object = PeerReply,
 > {
   readonly call: (stream: grpc.ServerDuplexStream<Buffer, Buffer>) => void;
-  /** A stream that carries many exchanges. */
+  /** Handles a stream that multiplexes exchanges. */
   readonly exchanges: (stream: grpc.ServerDuplexStream<Buffer, Buffer>) => void;
   readonly exchange: (request: Request, reply: (reply: Reply) => void) => void;
 }
@@ -46,7 +48,7 @@
     });
   }
 
-  /** Listens; fails when the address is taken. */
+  /** Listens on an address; rejects if the address is in use. */
   async start(address: string): Promise<void> {
     await new Promise<void>((resolve, reject) => {
       this.server.bindAsync(
@@ -57,7 +59,7 @@
     });
   }
 
-  /** Lets calls in flight finish; resolves once they have. */
+  /** Refuses new calls; resolves once those in flight have finished. */
   async drain(): Promise<void> {
     await new Promise<void>((resolve) => {
       this.server.tryShutdown(() => resolve());
--- a/packages/node/src/connection/upstreamPools.ts
+++ b/packages/node/src/connection/upstreamPools.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Connections to the upstreams on this box, few and never reused after a cut. */
+/** Connection pools of the upstreams on this box, one per upstream process. */
 
 import {connect} from 'node:net';
 import type {Socket} from 'node:net';
@@ -10,18 +10,21 @@
 import {isSameIncarnation} from '@lockpin/utils';
 import {lookAtAddress} from './lookAtAddress.js';
 
-/** An upstream on the same box connects at once; all other limits are the guard's. */
-const CONNECT_MILLISECONDS = 1000;
+/**
+ * Upstreams on the same box connect at once; the guard enforces all other
+ * timeouts.
+ */
+const CONNECT_TIMEOUT_MILLISECONDS = 1000;
 
 interface PoolEntry {
   readonly pool: Pool;
   readonly address: string;
   readonly connections: number;
-  /** Connections to an earlier process at the address are dead. */
+  /** Connections to an earlier process at the same address are unusable. */
   readonly incarnation: UpstreamIncarnation | undefined;
 }
 
-/** One pool for each upstream, with at most a connection for each slot. */
+/** One pool for each upstream, with at most one connection for each slot. */
 export class UpstreamPools {
   private readonly pools = new Map<string, PoolEntry>();
   private isReset = false;
@@ -36,21 +39,25 @@
   };
 
   /**
-   * Whether a connection is being reset right now. undici takes a reset for the
-   * end of an answer that has no length; such an answer is not whole.
+   * Whether listeners of a connection's error event are currently running.
+   * undici takes a reset for the end of a response without a length; that
+   * response is incomplete.
    */
   get isConnectionReset(): boolean {
     return this.isReset;
   }
 
-  /** The pool of an upstream; undefined when it is not configured here. */
+  /**
+   * Returns the pool of an upstream; undefined if it is not configured here.
+   */
   get(upstream: string): Pool | undefined {
     return this.pools.get(upstream)?.pool;
   }
 
   /**
-   * A connection for one call, closed after it. Nothing that an earlier call
-   * left on a connection, nor an idle one's silent end, can harm such a call.
+   * Creates a connection for a single call. Such a call cannot be affected by
+   * data that an earlier call left on a connection, or by an idle connection
+   * that was closed.
    */
   single(upstream: string): Client | undefined {
     const address = this.pools.get(upstream)?.address;
@@ -59,8 +66,8 @@
       : new Client(`http://${address}`, this.options);
   }
 
-  /** Looks whether anybody is at the address of an upstream. */
-  lookAt(upstream: string, done: (presence: Presence) => void): void {
+  /** Checks whether a process listens on the address of an upstream. */
+  lookAt(upstream: string, done: (state: Presence) => void): void {
     const entry = this.pools.get(upstream);
     if (entry === undefined) {
       done('unknown');
@@ -69,7 +76,7 @@
     }
   }
 
-  /** Makes pools for what is new and closes those of what is gone. */
+  /** Creates pools for new upstreams and closes those of removed upstreams. */
   configure(upstreams: readonly Resource<'Upstream'>[]): void {
     const names = new Set(upstreams.map(({name}) => name));
     for (const [name, {pool}] of this.pools) {
@@ -92,8 +99,8 @@
   ): void {
     const socket = connect({...address, noDelay: true});
     const timer = setTimeout(
-      () => socket.destroy(new Error('connecting takes too long')),
-      CONNECT_MILLISECONDS,
+      () => socket.destroy(new Error('connection attempt timed out')),
+      CONNECT_TIMEOUT_MILLISECONDS,
     );
     const failed = (error: Error): void => {
       clearTimeout(timer);
@@ -103,13 +110,16 @@
     socket.once('connect', () => {
       clearTimeout(timer);
       socket.off('error', failed);
-      socket.on('error', () => this.noteReset());
+      socket.on('error', () => this.markReset());
       done(null, socket);
     });
   }
 
-  /** Stands while the listeners of the same event run, undici's among them. */
-  private noteReset(): void {
+  /**
+   * Sets the flag while the listeners of the same event run, including
+   * undici's.
+   */
+  private markReset(): void {
     this.isReset = true;
     process.nextTick(() => {
       this.isReset = false;
--- a/packages/node/src/main.ts
+++ b/packages/node/src/main.ts
@@ -6,7 +6,7 @@
 import {runNode} from './process/runNode.js';
 import {readSettings} from './settings/readSettings.js';
 
-/** Exit codes; see docs/reference/exitCodes.md. */
+/** Exit codes, documented in docs/reference/exitCodes.md. */
 const EXIT = {
   finished: 0,
   stopLimitReached: 1,
@@ -29,7 +29,7 @@
 const logger = container.resolve(TOKENS.logger);
 const node = await runNode(container).catch((error: unknown) => {
   const {message} = error as Error;
-  logger.error('cannot listen; is another process on this address?', {
+  logger.error('cannot listen on an address; it may already be in use', {
     detail: message,
   });
   process.exit(EXIT.cannotListen);
--- a/packages/node/src/operators/access.ts
+++ b/packages/node/src/operators/access.ts
@@ -1,37 +1,40 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Who an operator is, and what they may see and change. */
+/** Authentication and authorization of operators. */
 
 import type {IncomingMessage} from 'node:http';
 import type {ConfigurationState} from '@lockpin/configuration';
 import type {AnyResource, ResourceKind, Write} from '@lockpin/types';
 import {equalInConstantTime, saltedHash} from '@lockpin/utils';
 
-/** An operator who has shown a token. */
+/** An authenticated operator. */
 export interface Operator {
   readonly name: string;
   /** A customer's name, or * for the whole fleet. */
   readonly scope: string;
 }
 
-/** Name of the token whose hash is a setting of the node. */
+/** Name of the token whose hash is configured in the settings of the node. */
 export const BOOTSTRAP_TOKEN = 'bootstrap';
 
 const FLEET = '*';
 
-/** Kinds that only the whole fleet's operators may see or change. */
+/** Kinds that only fleet-wide operators may read. */
 const FLEET_KINDS: ReadonlySet<ResourceKind> = new Set(['Token']);
+/** Kinds that only fleet-wide operators may write. */
 const FLEET_WRITTEN_KINDS: ReadonlySet<ResourceKind> = new Set([
   'Token',
   'Customer',
 ]);
 
-/** Finds out who asks; undefined when the token is missing or wrong. */
+/**
+ * Identifies the operator; returns undefined if the token is missing or wrong.
+ */
 export function authenticate(
   state: ConfigurationState,
   bootstrapTokenHash: string,
   request: IncomingMessage,
 ): Operator | undefined {
-  return operatorWith(
+  return findOperator(
     request,
     (name) =>
       bootstrapToken(bootstrapTokenHash, name) ??
@@ -39,26 +42,26 @@
   );
 }
 
-/** Whether who asks has the token whose hash is a setting of the node. */
+/** Whether the request carries the bootstrap token. */
 export function hasBootstrapToken(
   bootstrapTokenHash: string,
   request: IncomingMessage,
 ): boolean {
-  const known = (name: string): KnownToken | undefined =>
+  const known = (name: string): StoredToken | undefined =>
     bootstrapToken(bootstrapTokenHash, name);
-  return operatorWith(request, known) !== undefined;
+  return findOperator(request, known) !== undefined;
 }
 
-/** What a token is checked by. */
-interface KnownToken {
+/** The stored form of a token, against which secrets are checked. */
+interface StoredToken {
   readonly salt: string;
   readonly hash: string;
   readonly scope: string;
 }
 
-function operatorWith(
+function findOperator(
   request: IncomingMessage,
-  knownToken: (name: string) => KnownToken | undefined,
+  storedToken: (name: string) => StoredToken | undefined,
 ): Operator | undefined {
   const header = request.headers.authorization ?? '';
   const match = /^Bearer ([a-z0-9-]+)\.(\S+)$/.exec(header);
@@ -66,12 +69,12 @@
     return undefined;
   }
   const [, name = '', secret = ''] = match;
-  const known = knownToken(name);
-  const isRight = equalInConstantTime(
+  const known = storedToken(name);
+  const isValid = equalInConstantTime(
     saltedHash(known?.salt ?? '', secret),
     known?.hash ?? '',
   );
-  return isRight && known !== undefined
+  return isValid && known !== undefined
     ? {name, scope: known.scope}
     : undefined;
 }
@@ -79,7 +82,7 @@
 function bootstrapToken(
   bootstrapTokenHash: string,
   name: string,
-): KnownToken | undefined {
+): StoredToken | undefined {
   if (name !== BOOTSTRAP_TOKEN || bootstrapTokenHash === '') {
     return undefined;
   }
@@ -87,12 +90,12 @@
   return {salt, hash, scope: FLEET};
 }
 
-/** Whether an operator looks after the whole fleet. */
+/** Whether an operator's scope is the whole fleet. */
 export function isFleetWide(operator: Operator): boolean {
   return operator.scope === FLEET;
 }
 
-/** Whether an operator may see a resource. */
+/** Whether an operator may read a resource. */
 export function maySee(
   operator: Operator,
   kind: ResourceKind,
@@ -104,7 +107,7 @@
   );
 }
 
-/** Whether an operator may make a write. */
+/** Whether an operator may perform a write. */
 export function mayWrite(operator: Operator, write: Write): boolean {
   return (
     isFleetWide(operator) ||
@@ -113,7 +116,7 @@
   );
 }
 
-/** A resource as operators see it: a token without what it is checked by. */
+/** Returns a resource as shown to operators: tokens without salt and hash. */
 export function visible(resource: AnyResource): unknown {
   return resource.kind === 'Token'
     ? {...resource, spec: {scope: resource.spec.scope}}
--- a/packages/node/src/operators/apiProblem.ts
+++ b/packages/node/src/operators/apiProblem.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Failures of the operators' API over HTTP. */
+/** HTTP error responses of the operators' API. */
 
 import type {ServerResponse} from 'node:http';
 import type {ApiFailure} from '@lockpin/types';
@@ -15,7 +15,7 @@
   'log-unavailable': 503,
 };
 
-/** Sends a failure as application/problem+json. */
+/** Sends a failure as an application/problem+json response. */
 export function sendApiFailure(
   response: ServerResponse,
   failure: ApiFailure,
--- a/packages/node/src/operators/nodeStatus.ts
+++ b/packages/node/src/operators/nodeStatus.ts
@@ -1,12 +1,12 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** What a node knows of itself and of the others, for status. */
+/** The status that a node reports of itself and of its members. */
 
 import type {NodeHost} from '../process/nodeHost.js';
 import type {ControlTraffic} from '../process/controlTraffic.js';
 import {isFleetWide} from './access.js';
 import type {Operator} from './access.js';
 
-/** The status of one node as an operator may see it. */
+/** Returns the parts of a node's status that an operator may read. */
 export function nodeStatus(
   host: NodeHost,
   traffic: ControlTraffic,
@@ -44,7 +44,7 @@
   };
 }
 
-/** What the process has used so far. */
+/** Resource usage of the process. */
 function processStatus(traffic: ControlTraffic): unknown {
   const {user, system} = process.cpuUsage();
   const {rss, heapUsed} = process.memoryUsage();
--- a/packages/node/src/operators/operatorApp.ts
+++ b/packages/node/src/operators/operatorApp.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** The operators' resource API. */
+/** The HTTP API for operators. */
 
 import type {IncomingMessage, ServerResponse} from 'node:http';
 import {App} from '@tinyhttp/app';
@@ -30,10 +30,10 @@
 import {parseChange} from './parseChange.js';
 import {nodeStatus} from './nodeStatus.js';
 
-/** The largest change an operator may send, in bytes. */
-const LARGEST_CHANGE_BYTES = 1024 * 1024;
+/** Maximum size of a change request, in bytes. */
+const MAXIMUM_CHANGE_BYTES = 1024 * 1024;
 
-/** What the app needs of its process. */
+/** Dependencies of the operators' API. */
 export interface OperatorAppDependencies {
   readonly host: NodeHost;
   readonly watches: WatchHub;
@@ -49,7 +49,7 @@
   query: URLSearchParams,
 ) => void | Promise<void>;
 
-/** Makes the handler of the operators' server. */
+/** Creates the request handler of the operators' API. */
 export function createOperatorApp(
   dependencies: OperatorAppDependencies,
 ): RequestHandler {
@@ -65,7 +65,7 @@
     settings: {xPoweredBy: false},
   });
   const withOperator = (handler: Handler) =>
-    guarded(dependencies, handler) as never;
+    requireOperator(dependencies, handler) as never;
   app.get('/ready', (_, response) =>
     sendJson(response, host.isReady ? 200 : 503, {ready: host.isReady}),
   );
@@ -85,19 +85,22 @@
     withOperator((operator, _request, response, query) => {
       const since = Number(query.get('since') ?? 0);
       const events = timeline.since(since);
-      const shown = events.filter(
+      const visibleEvents = events.filter(
         ({subject}) =>
           isFleetWide(operator) || subject.startsWith(`${operator.scope}/`),
       );
-      sendJson(response, 200, {events: shown});
+      sendJson(response, 200, {events: visibleEvents});
     }),
   );
   return (request, response) =>
     void app.handler(request as never, response as never);
 }
 
-/** No answer before a configuration is in force, and none without a token. */
-function guarded(
+/**
+ * Rejects requests before a configuration is in force and requests without a
+ * valid token.
+ */
+function requireOperator(
   {host, bootstrapTokenHash}: OperatorAppDependencies,
   handler: Handler,
 ) {
@@ -162,8 +165,8 @@
 
 function change({host}: OperatorAppDependencies): Handler {
   return async (operator, request, response) => {
-    const body = await readBody(request, LARGEST_CHANGE_BYTES);
-    const parsed = Buffer.isBuffer(body) ? parseChange(body) : tooLarge();
+    const body = await readBody(request, MAXIMUM_CHANGE_BYTES);
+    const parsed = Buffer.isBuffer(body) ? parseChange(body) : changeTooLarge();
     if (!parsed.ok) {
       const problems = parsed.failure;
       sendApiFailure(response, {kind: 'invalid', problems});
@@ -179,11 +182,11 @@
   };
 }
 
-function tooLarge(): {
+function changeTooLarge(): {
   readonly ok: false;
   readonly failure: readonly FieldProblem[];
 } {
-  const problem = `give at most ${LARGEST_CHANGE_BYTES} bytes`;
+  const problem = `give at most ${MAXIMUM_CHANGE_BYTES} bytes`;
   return {ok: false, failure: [{field: 'body', problem}]};
 }
 
--- a/packages/node/src/operators/parseChange.ts
+++ b/packages/node/src/operators/parseChange.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Reads a change that an operator sends. */
+/** Parses change requests of operators. */
 
 import type {FieldProblem, Result, Write} from '@lockpin/types';
 import {failure, success} from '@lockpin/utils';
@@ -29,17 +29,17 @@
   writes: z.array(write).min(1),
 });
 
-/** A change as an operator sends it. */
+/** A change as submitted by an operator. */
 export interface OfferedChange {
   readonly changeId?: string | undefined;
   readonly writes: readonly Write[];
 }
 
-/** Reads the body of a change; each problem names its field. */
+/** Parses the body of a change request; each problem names its field. */
 export function parseChange(
   body: Buffer,
 ): Result<OfferedChange, readonly FieldProblem[]> {
-  const json = tryJson(body);
+  const json = tryParseJson(body);
   if (json === undefined) {
     return failure([{field: 'body', problem: 'give JSON'}]);
   }
@@ -55,7 +55,7 @@
   );
 }
 
-function tryJson(body: Buffer): unknown {
+function tryParseJson(body: Buffer): unknown {
   try {
     return JSON.parse(body.toString('utf8'));
   } catch {
--- a/packages/node/src/operators/quarantineApi.ts
+++ b/packages/node/src/operators/quarantineApi.ts
@@ -1,5 +1,8 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** The operators' API of a declared fleet: the requests that are kept out, and lifting. */
+/**
+ * The operators' API of a declared fleet: lists quarantined requests and lifts
+ * them.
+ */
 
 import type {IncomingMessage, ServerResponse} from 'node:http';
 import type {QuarantinedRequest} from '@lockpin/quarantine';
@@ -8,21 +11,21 @@
 import {hasBootstrapToken} from './access.js';
 import {sendApiFailure} from './apiProblem.js';
 
-/** The kind under which they are listed. */
+/** The resource kind of quarantined requests. */
 export const QUARANTINE_KIND = 'Quarantine';
 
-/** What the API goes by. */
+/** Dependencies of the quarantine API. */
 export interface QuarantineApiDependencies {
-  /** salt:hash of the token that is asked for; empty when nobody may ask. */
+  /** salt:hash of the required token; empty to reject all requests. */
   readonly tokenHash: string;
-  /** The version of the configuration in force. */
+  /** Returns the version of the configuration in force. */
   readonly version: () => number;
   readonly all: () => readonly QuarantinedRequest[];
   /** Lifts the quarantine of a request on all boxes. */
   readonly lift: (digest: string) => void;
 }
 
-/** GET /resources?kind=Quarantine, and POST /quarantines/DIGEST/lift. */
+/** Serves GET /resources?kind=Quarantine and POST /quarantines/DIGEST/lift. */
 export function quarantineApi(
   dependencies: QuarantineApiDependencies,
 ): RequestHandler {
--- a/packages/node/src/process/boundedWriter.ts
+++ b/packages/node/src/process/boundedWriter.ts
@@ -1,24 +1,26 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Writes lines to a file descriptor without ever blocking the event loop. */
+/** Writes lines to a file descriptor without blocking the event loop. */
 
 import {write} from 'node:fs';
 
-/** Bytes that may wait for a slow reader; what comes after them is dropped. */
-const MOST_WAITING_BYTES = 256 * 1024;
+/** Maximum size of the buffer for a slow reader; further lines are dropped. */
+const MAXIMUM_BUFFERED_BYTES = 256 * 1024;
 
-/** Lines of this time go out in one write, since each write costs a wake-up. */
-const GATHER_MILLISECONDS = 40;
+/**
+ * Lines within this time are written together, since each write wakes a thread.
+ */
+const BATCH_MILLISECONDS = 40;
 
-/** Counts what was dropped, so that the log can say so itself. */
+/** Number of lines written and dropped. */
 export interface WriterCounts {
   readonly written: number;
   readonly dropped: number;
 }
 
-/** One write at a time, in a thread of the runtime's own pool. */
+/** Writes one batch at a time, in the thread pool of the runtime. */
 export class BoundedWriter {
-  private waiting: string[] = [];
-  private waitingBytes = 0;
+  private pendingLines: string[] = [];
+  private pendingBytes = 0;
   private isWriting = false;
   private timer: NodeJS.Timeout | undefined;
   private written = 0;
@@ -30,29 +32,29 @@
     return {written: this.written, dropped: this.dropped};
   }
 
-  /** Takes a line; false when there is no room for it. */
+  /** Buffers a line; returns false if the buffer is full. */
   writeLine(line: string): boolean {
-    if (this.waitingBytes + line.length > MOST_WAITING_BYTES) {
+    if (this.pendingBytes + line.length > MAXIMUM_BUFFERED_BYTES) {
       this.dropped += 1;
       return false;
     }
-    this.waiting.push(line);
-    this.waitingBytes += line.length;
+    this.pendingLines.push(line);
+    this.pendingBytes += line.length;
     this.written += 1;
-    this.timer ??= setTimeout(() => this.flush(), GATHER_MILLISECONDS);
+    this.timer ??= setTimeout(() => this.flush(), BATCH_MILLISECONDS);
     return true;
   }
 
-  /** Writes what waits, as far as that is possible without waiting. */
+  /** Starts to write the buffered lines unless a write is in progress. */
   flush(): void {
     clearTimeout(this.timer);
     this.timer = undefined;
-    if (this.isWriting || this.waiting.length === 0) {
+    if (this.isWriting || this.pendingLines.length === 0) {
       return;
     }
-    const bytes = Buffer.from(`${this.waiting.join('\n')}\n`);
-    this.waiting = [];
-    this.waitingBytes = 0;
+    const bytes = Buffer.from(`${this.pendingLines.join('\n')}\n`);
+    this.pendingLines = [];
+    this.pendingBytes = 0;
     this.isWriting = true;
     this.writeAll(bytes);
   }
@@ -64,7 +66,7 @@
         return;
       }
       if (error !== null) {
-        // The log itself cannot be written; the counter is all that can tell.
+        // The log itself cannot be written; only this counter shows it.
         this.dropped += 1;
       }
       this.isWriting = false;
--- a/packages/node/src/process/boxListPoller.ts
+++ b/packages/node/src/process/boxListPoller.ts
@@ -1,21 +1,21 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Reads the platform's list of boxes, the more rarely the longer it is. */
+/** Polls the platform's list of boxes, at longer intervals the longer it is. */
 
 import type {ListedBox} from '@lockpin/brain';
 import type {Clock} from '@lockpin/types';
 
-/** Reading the list may take this many bytes a second. */
+/** Bandwidth limit for reading the list, in bytes per second. */
 const BYTES_PER_SECOND = 500;
-const LEAST_INTERVAL_MILLISECONDS = 2000;
+const MINIMUM_INTERVAL_MILLISECONDS = 2000;
 const BYTES_PER_BOX = 100;
 
-/** What the poller needs of the world. */
+/** Dependencies of the poller. */
 export interface BoxListSource {
   readonly clock: Clock;
   readonly listBoxes: () => Promise<readonly ListedBox[] | undefined>;
 }
 
-/** One read at a time. */
+/** Polls the list, one read at a time. */
 export class BoxListPoller {
   private nextAt = 0;
   private isReading = false;
@@ -25,7 +25,7 @@
     private readonly onBoxes: (boxes: readonly ListedBox[]) => void,
   ) {}
 
-  /** Reads when a read is due. */
+  /** Starts a read if one is due. */
   tick(): void {
     if (!this.isReading && this.source.clock() >= this.nextAt) {
       void this.read();
@@ -46,7 +46,7 @@
 function interval(count: number): number {
   const bytes = count * BYTES_PER_BOX;
   return Math.max(
-    LEAST_INTERVAL_MILLISECONDS,
+    MINIMUM_INTERVAL_MILLISECONDS,
     (bytes / BYTES_PER_SECOND) * 1000,
   );
 }
--- a/packages/node/src/process/composition.ts
+++ b/packages/node/src/process/composition.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** The composition root: every part of a node's process, by tsyringe. */
+/** The composition root of a node, with tsyringe. */
 
 import 'reflect-metadata';
 import {container as root} from 'tsyringe';
@@ -36,10 +36,13 @@
 import {TimelineStore} from './timelineStore.js';
 import {every} from './timers.js';
 
-/** Names of boxes shown to a watch that have not a version in force. */
-const MISSING_SHOWN = 10;
+/**
+ * Maximum number of box names sent to a watch for a version not yet in force
+ * there.
+ */
+const MAXIMUM_MISSING_BOXES = 10;
 
-/** What can be asked of the container. */
+/** Injection tokens of the container. */
 export const TOKENS = {
   settings: Symbol('settings') as InjectionToken<NodeSettings>,
   logger: Symbol('logger') as InjectionToken<Logger>,
@@ -61,89 +64,112 @@
   operatorApp: Symbol('operatorApp') as InjectionToken<RequestHandler>,
 } as const;
 
-/** Registers every part; each is made once, when it is first asked for. */
+/** Registers all components as singletons, created when first resolved. */
 export function composeNode(settings: NodeSettings): DependencyContainer {
   const container = root.createChildContainer();
-  const once = registerOnceIn(container);
+  const registerSingleton = registerOnceIn(container);
   container.register(TOKENS.settings, {useValue: settings});
-  once(TOKENS.logger, () =>
+  registerSingleton(TOKENS.logger, () =>
     createLogger(settings.logLevel, {box: settings.box}),
   );
-  once(TOKENS.metrics, () =>
+  registerSingleton(TOKENS.metrics, () =>
     createMetrics(settings.metricsAddress, settings.box),
   );
-  once(TOKENS.traffic, () => new ControlTraffic());
-  once(TOKENS.timeline, () => new TimelineStore());
-  once(TOKENS.pools, () => new UpstreamPools());
-  once(
+  registerSingleton(TOKENS.traffic, () => new ControlTraffic());
+  registerSingleton(TOKENS.timeline, () => new TimelineStore());
+  registerSingleton(TOKENS.pools, () => new UpstreamPools());
+  registerSingleton(
     TOKENS.channels,
-    (parts) => new PeerChannels(parts.resolve(TOKENS.traffic)),
+    (dependencies) => new PeerChannels(dependencies.resolve(TOKENS.traffic)),
   );
-  once(
+  registerSingleton(
     TOKENS.log,
-    (parts) =>
-      new LogClient(settings.logAddress, parts.resolve(TOKENS.traffic)),
+    (dependencies) =>
+      new LogClient(settings.logAddress, dependencies.resolve(TOKENS.traffic)),
   );
-  once(
+  registerSingleton(
     TOKENS.boxList,
-    (parts) =>
-      new BoxListClient(settings.boxListAddress, parts.resolve(TOKENS.traffic)),
+    (dependencies) =>
+      new BoxListClient(
+        settings.boxListAddress,
+        dependencies.resolve(TOKENS.traffic),
+      ),
+  );
+  registerSingleton(TOKENS.datagrams, (dependencies) =>
+    createDatagrams(dependencies, settings),
+  );
+  registerSingleton(TOKENS.environment, (dependencies) =>
+    createEnvironment(dependencies),
+  );
+  registerSingleton(TOKENS.host, (dependencies) =>
+    createHost(dependencies, settings),
+  );
+  registerSingleton(TOKENS.guardService, (dependencies) =>
+    createGuardService(dependencies),
+  );
+  registerSingleton(TOKENS.entryService, (dependencies) =>
+    createEntryService(dependencies, settings),
+  );
+  registerSingleton(TOKENS.watches, (dependencies) =>
+    createWatchHub(dependencies),
+  );
+  registerSingleton(TOKENS.peerServer, (dependencies) =>
+    createPeerServer(dependencies),
+  );
+  registerSingleton(TOKENS.callerApp, (dependencies) =>
+    createCallerHandler(dependencies),
+  );
+  registerSingleton(TOKENS.operatorApp, (dependencies) =>
+    createOperatorHandler(dependencies, settings),
   );
-  once(TOKENS.datagrams, (parts) => createDatagrams(parts, settings));
-  once(TOKENS.environment, (parts) => realEnvironment(parts));
-  once(TOKENS.host, (parts) => createHost(parts, settings));
-  once(TOKENS.guardService, (parts) => createGuardService(parts));
-  once(TOKENS.entryService, (parts) => createEntryService(parts, settings));
-  once(TOKENS.watches, (parts) => createWatchHub(parts));
-  once(TOKENS.peerServer, (parts) => createPeerServer(parts));
-  once(TOKENS.callerApp, (parts) => createCallers(parts));
-  once(TOKENS.operatorApp, (parts) => createOperators(parts, settings));
   return container;
 }
 
 function createDatagrams(
-  parts: DependencyContainer,
+  dependencies: DependencyContainer,
   {peerAddress}: NodeSettings,
 ): DatagramSocket {
-  const host = parts.resolve(TOKENS.host);
-  const traffic = parts.resolve(TOKENS.traffic);
+  const host = dependencies.resolve(TOKENS.host);
+  const traffic = dependencies.resolve(TOKENS.traffic);
   return new DatagramSocket(peerAddress, traffic, (datagram) =>
     host.datagramReceived(datagram),
   );
 }
 
-function createCallers(parts: DependencyContainer): RequestHandler {
-  const host = parts.resolve(TOKENS.host);
+function createCallerHandler(
+  dependencies: DependencyContainer,
+): RequestHandler {
+  const host = dependencies.resolve(TOKENS.host);
   return createCallerApp({
-    entry: parts.resolve(TOKENS.entryService),
+    entry: dependencies.resolve(TOKENS.entryService),
     state: () => host.control.keeper.state,
     isReady: () => host.isReady,
   });
 }
 
-function createOperators(
-  parts: DependencyContainer,
+function createOperatorHandler(
+  dependencies: DependencyContainer,
   {bootstrapTokenHash}: NodeSettings,
 ): RequestHandler {
   return createOperatorApp({
-    host: parts.resolve(TOKENS.host),
-    watches: parts.resolve(TOKENS.watches),
-    timeline: parts.resolve(TOKENS.timeline),
-    traffic: parts.resolve(TOKENS.traffic),
+    host: dependencies.resolve(TOKENS.host),
+    watches: dependencies.resolve(TOKENS.watches),
+    timeline: dependencies.resolve(TOKENS.timeline),
+    traffic: dependencies.resolve(TOKENS.traffic),
     bootstrapTokenHash,
   });
 }
 
-function realEnvironment(parts: DependencyContainer): NodeEnvironment {
-  const log = parts.resolve(TOKENS.log);
-  const channels = parts.resolve(TOKENS.channels);
-  const boxList = parts.resolve(TOKENS.boxList);
+function createEnvironment(dependencies: DependencyContainer): NodeEnvironment {
+  const log = dependencies.resolve(TOKENS.log);
+  const channels = dependencies.resolve(TOKENS.channels);
+  const boxList = dependencies.resolve(TOKENS.boxList);
   return {
     clock: Date.now,
     random: Math.random,
     every,
     sendDatagram: (address, datagram) =>
-      parts.resolve(TOKENS.datagrams).send(address, datagram),
+      dependencies.resolve(TOKENS.datagrams).send(address, datagram),
     exchange: (address, request, done) =>
       channels.exchange(address, request, done),
     readLog: (stream, from, wait) => log.read(stream, from, wait),
@@ -153,12 +179,12 @@
 }
 
 function createHost(
-  parts: DependencyContainer,
+  dependencies: DependencyContainer,
   settings: NodeSettings,
 ): NodeHost {
   const {box, dataCentre, peerAddress, callerAddress, operatorAddress} =
     settings;
-  const environment = parts.resolve(TOKENS.environment);
+  const environment = dependencies.resolve(TOKENS.environment);
   const {clock, random} = environment;
   const incarnation = makeIncarnation(clock(), random);
   return new NodeHost(
@@ -180,35 +206,35 @@
   );
 }
 
-function createGuardService(parts: DependencyContainer): GuardService {
-  const host = parts.resolve(TOKENS.host);
-  const {clock, random, every} = parts.resolve(TOKENS.environment);
+function createGuardService(dependencies: DependencyContainer): GuardService {
+  const host = dependencies.resolve(TOKENS.host);
+  const {clock, random, every} = dependencies.resolve(TOKENS.environment);
   return new GuardService({
     clock,
     random,
     every,
     brain: host.guard,
-    pools: parts.resolve(TOKENS.pools),
+    pools: dependencies.resolve(TOKENS.pools),
     onOther: (action) => host.guardActed(action),
   });
 }
 
 function createEntryService(
-  parts: DependencyContainer,
+  dependencies: DependencyContainer,
   settings: NodeSettings,
 ): EntryService {
-  const host = parts.resolve(TOKENS.host);
-  const guard = parts.resolve(TOKENS.guardService);
-  const channels = parts.resolve(TOKENS.channels);
-  const {clock, random} = parts.resolve(TOKENS.environment);
+  const host = dependencies.resolve(TOKENS.host);
+  const guard = dependencies.resolve(TOKENS.guardService);
+  const channels = dependencies.resolve(TOKENS.channels);
+  const {clock, random} = dependencies.resolve(TOKENS.environment);
   const {membership} = host.control;
   const remote = new RemoteExchanges((address) => channels.client(address));
   return new EntryService({
     clock,
     random,
     brain: host.entry,
-    logger: parts.resolve(TOKENS.logger),
-    metrics: parts.resolve(TOKENS.metrics),
+    logger: dependencies.resolve(TOKENS.logger),
+    metrics: dependencies.resolve(TOKENS.metrics),
     largestBodyBytes: () => settings.largestBodyBytes,
     protocol: lockpinCallerProtocol(() => host.control.keeper.state),
     isOwnBox: (box) => box === settings.box,
@@ -216,7 +242,7 @@
       box !== settings.box && repetition === 'at-most-once',
     isReady: () => host.isReady,
     isLeaving: () => host.isLeaving,
-    // Callers behind lockpin say themselves that they repeat a call.
+    // Callers behind lockpin mark repeated calls themselves.
     mayBeRepeat: () => false,
     incarnation: (box) => membership.get(box)?.incarnation,
     begin: (box, head, handlers) => {
@@ -229,8 +255,8 @@
   });
 }
 
-function createWatchHub(parts: DependencyContainer): WatchHub {
-  const host = parts.resolve(TOKENS.host);
+function createWatchHub(dependencies: DependencyContainer): WatchHub {
+  const host = dependencies.resolve(TOKENS.host);
   const {control} = host;
   return new WatchHub({
     version: () => control.keeper.version,
@@ -242,21 +268,21 @@
       return {
         nodes: usable.length - missing.length,
         of: usable.length,
-        missing: missing.slice(0, MISSING_SHOWN).map(({box}) => box),
+        missing: missing.slice(0, MAXIMUM_MISSING_BOXES).map(({box}) => box),
       };
     },
     onWatcherCount: (count) => host.watchersCounted(count),
   });
 }
 
-function createPeerServer(parts: DependencyContainer): PeerServer {
-  const host = parts.resolve(TOKENS.host);
-  const guard = parts.resolve(TOKENS.guardService);
+function createPeerServer(dependencies: DependencyContainer): PeerServer {
+  const host = dependencies.resolve(TOKENS.host);
+  const guard = dependencies.resolve(TOKENS.guardService);
   const begin: BeginExchange = (head, handlers) => guard.begin(head, handlers);
   const handlers: PeerServerHandlers = {
     call: (stream) => serveGuardStream(stream, begin),
     exchanges: (stream) => serveExchangeStream(stream, begin),
     exchange: (request, reply) => host.exchangeReceived(request, reply),
   };
-  return new PeerServer(handlers, parts.resolve(TOKENS.traffic));
+  return new PeerServer(handlers, dependencies.resolve(TOKENS.traffic));
 }
--- a/packages/node/src/process/controlTraffic.ts
+++ b/packages/node/src/process/controlTraffic.ts
@@ -1,17 +1,17 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Counts the bytes that a node spends on control. */
+/** Counts the bytes of a node's control traffic. */
 
-/** The ways that control messages go. */
+/** Transports of control messages. */
 export type TrafficKind = 'datagrams' | 'exchanges' | 'log' | 'boxList';
 
-/** Bytes by direction. */
+/** Bytes by direction, and messages sent. */
 export interface TrafficCount {
   sent: number;
   received: number;
   messages: number;
 }
 
-/** Counts payloads; headers of the layers below are not seen here. */
+/** Counts payload bytes, excluding the headers of lower layers. */
 export class ControlTraffic {
   readonly counts: Readonly<Record<TrafficKind, TrafficCount>> = {
     datagrams: {sent: 0, received: 0, messages: 0},
--- a/packages/node/src/process/customerLimits.ts
+++ b/packages/node/src/process/customerLimits.ts
@@ -1,5 +1,7 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** The limits of customers at one node: its part as an entry and as a pool. */
+/**
+ * Customers' rate limits at one node, as a client and as a host of token pools.
+ */
 
 import {ANSWER_MILLISECONDS, LimitClient, TokenPool} from '@lockpin/limits';
 import type {
@@ -14,10 +16,12 @@
 } from '@lockpin/limits';
 import type {Clock, RandomSource} from '@lockpin/types';
 
-/** Numbers that tell the processes of a box apart, as far as their messages live. */
+/**
+ * Range of random numbers that distinguish the processes of a box in messages.
+ */
 const PROCESS_NUMBERS = 2 ** 32;
 
-/** What the limits need of their node. */
+/** Dependencies of the customer limits. */
 export interface CustomerLimitsContext {
   readonly box: string;
   readonly random: RandomSource;
@@ -26,16 +30,19 @@
   readonly limitOf: (customer: string) => RateLimit | undefined;
   readonly fleet: () => LimitFleet;
   readonly send: (box: string, message: LimitMessage) => void;
-  /** A box did not answer; the connection to it may be dead. */
+  /** Called if a box did not answer; the connection to it may be dead. */
   readonly onSilence: (box: string) => void;
 }
 
-/** Lives as long as the process. */
+/** Enforces the rate limits of customers. */
 export class CustomerLimits {
   private readonly client: LimitClient;
   private readonly pool: TokenPool;
-  private readonly waiting = new Map<string, (admission: Admission) => void>();
-  private serial = 0;
+  private readonly pendingAdmissions = new Map<
+    string,
+    (admission: Admission) => void
+  >();
+  private callCount = 0;
 
   constructor(private readonly context: CustomerLimitsContext) {
     const {box, random, limitOf, rules, fleet} = context;
@@ -49,50 +56,58 @@
     });
   }
 
-  /** Whether a customer may make a call now; at once where a token is in store. */
+  /**
+   * Decides whether a customer may make a call; synchronously if a token is
+   * available.
+   */
   admit(customer: string): Admission | Promise<Admission> {
     if (this.context.limitOf(customer) === undefined) {
       return {kind: 'admitted'};
     }
-    this.serial += 1;
-    const callId = String(this.serial);
-    let known: Admission | undefined;
-    this.waiting.set(callId, (admission) => (known = admission));
+    this.callCount += 1;
+    const callId = String(this.callCount);
+    let immediate: Admission | undefined;
+    this.pendingAdmissions.set(callId, (admission) => (immediate = admission));
     this.perform(this.client.arrived(this.now, callId, customer));
-    if (known !== undefined) {
-      return known;
+    if (immediate !== undefined) {
+      return immediate;
     }
-    return new Promise((resolve) => this.waiting.set(callId, resolve));
+    return new Promise((resolve) =>
+      this.pendingAdmissions.set(callId, resolve),
+    );
   }
 
-  /** A call that was admitted has run nowhere, and will not. */
+  /** Reports that an admitted call did not run and will not. */
   notRun(customer: string): void {
     this.client.notRun(this.now, customer);
   }
 
-  /** The limits of these customers are others from now on. */
+  /** Applies changed limits of customers. */
   limitsChanged(customers: readonly string[]): void {
     customers.forEach((customer) => this.client.limitChanged(customer));
   }
 
-  /** The clock counts this much more time from here on, which may not have passed. */
+  /**
+   * Adjusts for time added to the clock by a suspension, which may not have
+   * passed.
+   */
   clockGained(milliseconds: number): void {
     this.client.clockGained(milliseconds);
     this.pool.clockGained(milliseconds);
   }
 
-  /** Time goes on. */
+  /** Advances the pool and the client to the current time. */
   tick(): void {
     this.pool.tick(this.now);
     this.perform(this.client.tick(this.now, this.context.fleet()));
   }
 
-  /** Another node lends or draws. */
+  /** Answers a request of a node to a pool of this node. */
   requested(request: LimitRequest): LimitReply {
     return this.pool.answer(this.now, request);
   }
 
-  /** A pool answered. */
+  /** Handles the reply of a pool. */
   replied(reply: LimitReply): void {
     this.perform(this.client.replied(this.now, reply));
   }
@@ -111,7 +126,7 @@
           this.context.onSilence(action.box);
           break;
         case 'decided':
-          this.decided(action.callId, action.admission);
+          this.resolveAdmission(action.callId, action.admission);
           break;
       }
     }
@@ -119,7 +134,7 @@
 
   private send(box: string, request: LimitRequest): void {
     if (box === this.context.box) {
-      // After what is under way here, as an answer from elsewhere would come.
+      // Deferred until the current task ends, like a reply from another box.
       queueMicrotask(() => this.replied(this.requested(request)));
       return;
     }
@@ -132,9 +147,9 @@
     this.context.send(box, request);
   }
 
-  private decided(callId: string, admission: Admission): void {
-    const tell = this.waiting.get(callId);
-    this.waiting.delete(callId);
-    tell?.(admission);
+  private resolveAdmission(callId: string, admission: Admission): void {
+    const resolve = this.pendingAdmissions.get(callId);
+    this.pendingAdmissions.delete(callId);
+    resolve?.(admission);
   }
 }
--- a/packages/node/src/process/decisionLog.ts
+++ b/packages/node/src/process/decisionLog.ts
@@ -1,102 +1,112 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
 /**
- * One JSON line for each decision that touches a call or changes what the node
- * believes. The volume is bounded: beyond it, calls that went well are counted
- * rather than written, and a line says how many.
+ * A log with one JSON line for each decision on a call and each state change of
+ * the node. The rate of lines is limited separately for successful calls and
+ * for all other events. Lines beyond the limit are dropped, and a later line
+ * reports how many.
  */
 
 import type {CallRecord} from '../request/callStory.js';
 import type {GuardRecord} from '../request/guardRecord.js';
 import {LineAllowance} from './lineAllowance.js';
 
-/** Fields of a line; never a secret or a caller's body. */
+/** Fields of a log line; must not contain secrets or request bodies. */
 export type LogDetail = Readonly<Record<string, unknown>>;
 
-/** Lines a second for calls that went well. */
+/** Lines per second for successful calls. */
 const ROUTINE_LINES_PER_SECOND = 60;
 
-/** Lines a second for all that did not, and for events. */
+/** Lines per second for all other calls and for events. */
 const NOTABLE_LINES_PER_SECOND = 120;
 
-/** What may come at once after a quiet time, in seconds' worth of lines. */
+/** Burst size of both limits, in seconds of their rate. */
 const BURST_SECONDS = 4;
 
-/** What the log needs of its process. */
+/** Dependencies of the decision log. */
 export interface DecisionLogDependencies {
   readonly clock: () => number;
-  /** Takes a line; false when it was dropped. */
-  readonly writeLine: (line: string) => boolean;
-  /** Fields of every line: which process this is. */
+  /** Writes a line; returns false if it was dropped. */
+  readonly writeLine: (writeEvent: string) => boolean;
+  /** Fields of every line, which identify the process. */
   readonly common: LogDetail;
 }
 
-/** Writes the lines of one process. */
+/** Writes the log lines of one process. */
 export class DecisionLog {
-  private readonly routine: LineAllowance;
-  private readonly notable: LineAllowance;
+  private readonly routineLimiter: LineAllowance;
+  private readonly notableLimiter: LineAllowance;
 
   constructor(private readonly dependencies: DecisionLogDependencies) {
     const {clock} = dependencies;
-    this.routine = new LineAllowance(
+    this.routineLimiter = new LineAllowance(
       clock(),
       ROUTINE_LINES_PER_SECOND,
       BURST_SECONDS,
     );
-    this.notable = new LineAllowance(
+    this.notableLimiter = new LineAllowance(
       clock(),
       NOTABLE_LINES_PER_SECOND,
       BURST_SECONDS,
     );
   }
 
-  /** A call ended at the entry. */
+  /** Logs the end of a call at the entry. */
   call(record: CallRecord): void {
     const isRoutine =
       record.outcome === 'answered' && record.attempts.length <= 1;
-    this.write(isRoutine ? this.routine : this.notable, 'call', {...record});
+    this.write(isRoutine ? this.routineLimiter : this.notableLimiter, 'call', {
+      ...record,
+    });
   }
 
-  /** A call ended at the guard of its upstream. */
+  /** Logs the end of a call at the guard of its upstream. */
   guardCall({head, ...record}: GuardRecord): void {
     const isRoutine = record.outcome === 'answered';
-    this.write(isRoutine ? this.routine : this.notable, 'guard-call', {
-      requestId: head.requestId,
-      requestDigest: head.requestDigest,
-      route: head.route,
-      terms: head.terms,
-      attempt: head.attempt,
-      expectedMilliseconds: head.expectedMilliseconds,
-      ...record,
-    });
+    this.write(
+      isRoutine ? this.routineLimiter : this.notableLimiter,
+      'guard-call',
+      {
+        requestId: head.requestId,
+        requestDigest: head.requestDigest,
+        route: head.route,
+        terms: head.terms,
+        attempt: head.attempt,
+        expectedMilliseconds: head.expectedMilliseconds,
+        ...record,
+      },
+    );
   }
 
-  /** The process begins, ends, reads its settings, or believes otherwise. */
+  /**
+   * Logs an event of the process, such as a start, a reload or a state change.
+   */
   event(event: string, detail: LogDetail): void {
-    this.write(this.notable, event, detail);
+    this.write(this.notableLimiter, event, detail);
   }
 
   private write(
-    allowance: LineAllowance,
+    rateLimiter: LineAllowance,
     event: string,
     detail: LogDetail,
   ): void {
     const now = this.dependencies.clock();
-    if (!allowance.take(now)) {
+    if (!rateLimiter.take(now)) {
       return;
     }
-    const leftOut = this.routine.takeLeftOut() + this.notable.takeLeftOut();
+    const leftOut =
+      this.routineLimiter.takeLeftOut() + this.notableLimiter.takeLeftOut();
     if (leftOut > 0) {
-      this.line(now, 'lines-left-out', {count: leftOut});
+      this.writeEvent(now, 'lines-left-out', {count: leftOut});
     }
-    this.line(now, event, detail);
+    this.writeEvent(now, event, detail);
   }
 
-  private line(now: number, event: string, detail: LogDetail): void {
+  private writeEvent(now: number, event: string, detail: LogDetail): void {
     const {common, writeLine} = this.dependencies;
     const time = new Date(now).toISOString();
     const text = JSON.stringify({time, event, ...common, ...detail});
     if (!writeLine(text)) {
-      this.notable.leftOut();
+      this.notableLimiter.leftOut();
     }
   }
 }
--- a/packages/node/src/process/finishCalls.ts
+++ b/packages/node/src/process/finishCalls.ts
@@ -1,21 +1,21 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** The wait of a process that stops, for the calls it still has in flight. */
+/** Waits for calls in flight while a process stops. */
 
-import {setTimeout as pause} from 'node:timers/promises';
+import {setTimeout as delay} from 'node:timers/promises';
 import type {Clock} from '@lockpin/types';
 
-/** Whether everything in flight finished before the limit. */
+/** Whether all calls in flight finished before the time limit. */
 export type StopResult = 'finished' | 'limit-reached';
 
-/** Milliseconds between looks at what is still in flight. */
-const STOP_POLL_MILLISECONDS = 20;
+/** Interval between checks for calls in flight. */
+const POLL_INTERVAL_MILLISECONDS = 20;
 
-/** What counts the calls in flight: a guard or an entry. */
+/** Counts calls in flight; implemented by guards and entries. */
 export interface CallCounter {
   readonly callCount: number;
 }
 
-/** Waits until no calls are in flight, but not beyond the limit. */
+/** Waits until no calls are in flight or the clock reaches the limit. */
 export async function finishCalls(
   counters: readonly CallCounter[],
   clock: Clock,
@@ -23,7 +23,7 @@
 ): Promise<StopResult> {
   const isBusy = (): boolean => counters.some(({callCount}) => callCount > 0);
   while (isBusy() && clock() < limit) {
-    await pause(STOP_POLL_MILLISECONDS);
+    await delay(POLL_INTERVAL_MILLISECONDS);
   }
   return isBusy() ? 'limit-reached' : 'finished';
 }
--- a/packages/node/src/process/fleetActions.ts
+++ b/packages/node/src/process/fleetActions.ts
@@ -1,45 +1,48 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Hands each action of the fleet's control to whoever does it. */
+/** Dispatches actions of the fleet's state machine to their handlers. */
 
 import type {FleetAction, OwnUpstream, PeerQuestion} from '@lockpin/fleet';
 import type {DecisionLog} from './decisionLog.js';
 import type {FleetHostListeners} from './fleetEnvironment.js';
 import type {FleetStoreCalls} from './fleetStoreCalls.js';
 
-/** A newer version is in force. */
+/** The action for a newer configuration version in force. */
 export type ConfigurationChange = FleetAction & {
   readonly kind: 'configuration-changed';
 };
 
-/** Who does what the fleet's control wants done. */
+/** Handlers of the actions of the fleet's state machine. */
 export interface FleetActionTargets {
   readonly store: FleetStoreCalls;
   readonly log: DecisionLog;
-  /** The rest of the process; undefined before it has started. */
+  /**
+   * Listeners in the rest of the process; undefined before the host has
+   * started.
+   */
   readonly listeners: () => FleetHostListeners | undefined;
-  readonly askPeer: (address: string, question: PeerQuestion) => void;
+  readonly askPeer: (address: string, query: PeerQuestion) => void;
   readonly configurationChanged: (change: ConfigurationChange) => void;
-  /** Whoever announced it is told. */
+  /** The announcing process gets the refusal as the result of its call. */
   readonly announcementRefused: () => void;
   readonly upstreamChanged: (upstream: OwnUpstream) => void;
 }
 
-/** Does one action. */
+/** Performs an action. */
 export function performFleetAction(
-  targets: FleetActionTargets,
+  handlers: FleetActionTargets,
   action: FleetAction,
 ): void {
-  const listeners = targets.listeners();
+  const listeners = handlers.listeners();
   switch (action.kind) {
     case 'read-newest':
     case 'follow':
     case 'write':
     case 'drop-record':
     case 'write-for':
-      targets.store.perform(action);
+      handlers.store.perform(action);
       break;
     case 'ask-peer':
-      targets.askPeer(action.address, action.question);
+      handlers.askPeer(action.address, action.question);
       break;
     case 'follow-peers':
       listeners?.onFollow(action.peers);
@@ -57,16 +60,16 @@
       listeners?.onQuarantined(action.digest);
       break;
     case 'configuration-changed':
-      targets.configurationChanged(action);
+      handlers.configurationChanged(action);
       break;
     case 'announcement-refused':
-      targets.announcementRefused();
+      handlers.announcementRefused();
       break;
     case 'upstream-changed':
-      targets.upstreamChanged(action.upstream);
+      handlers.upstreamChanged(action.upstream);
       break;
     case 'note':
-      targets.log.event(action.event, {
+      handlers.log.event(action.event, {
         subject: action.subject,
         ...action.detail,
       });
--- a/packages/node/src/process/fleetBrains.ts
+++ b/packages/node/src/process/fleetBrains.ts
@@ -1,5 +1,7 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** The brains of a node in a declared fleet, as its settings want them. */
+/**
+ * Creates the state machines of a node in a declared fleet from its settings.
+ */
 
 import {EntryBrain, GuardBrain} from '@lockpin/brain';
 import type {EntrySettings} from '@lockpin/brain';
@@ -11,23 +13,23 @@
 import {fleetRetryBudget} from './fleetRetryBudget.js';
 import {mechanismSwitch} from './mechanisms.js';
 
-/** What the brains of calls go by. */
+/** Dependencies of the state machines of calls. */
 export interface CallBrainsContext {
   readonly fleet: FleetBrain;
   /** Identity of this process. */
   readonly incarnation: string;
   readonly startedAt: number;
-  /** As they are now; the rest is as it was at the start. */
+  /** Returns the current settings; only some are applied after the start. */
   readonly settings: () => FleetNodeSettings;
 }
 
-/** Both ends of a call on one box. */
+/** The state machines of both ends of a call on one box. */
 export interface CallBrains {
   readonly guard: GuardBrain;
   readonly entry: EntryBrain;
 }
 
-/** Makes the brain that knows the fleet. */
+/** Creates the state machine that tracks the fleet. */
 export function createFleetBrain(
   settings: FleetNodeSettings,
   readConfiguration: ReadConfiguration,
@@ -40,7 +42,10 @@
   });
 }
 
-/** Makes the brains of calls; the guard goes by how the entry's calls are held up. */
+/**
+ * Creates the state machines of calls; the guard reads the delayed calls of the
+ * entry.
+ */
 export function createCallBrains(context: CallBrainsContext): CallBrains {
   const {box, dataCentre, switchedOff} = context.settings();
   const isOn = mechanismSwitch(switchedOff);
--- a/packages/node/src/process/fleetComposition.ts
+++ b/packages/node/src/process/fleetComposition.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** The composition root of a node in a declared fleet, by tsyringe. */
+/** The composition root of a node in a declared fleet, with tsyringe. */
 
 import 'reflect-metadata';
 import {container as root} from 'tsyringe';
@@ -35,10 +35,10 @@
 /** File descriptor of the decision log. */
 const STANDARD_OUTPUT = 1;
 
-/** A body that is accepted before any configuration says how large it may be. */
-const FIRST_LARGEST_BODY_BYTES = 1024 * 1024;
+/** Maximum body size before any configuration is in force. */
+const INITIAL_BODY_LIMIT_BYTES = 1024 * 1024;
 
-/** What can be asked of the container. */
+/** Injection tokens of the container. */
 export const FLEET_TOKENS = {
   ports: Symbol('ports') as InjectionToken<FleetPorts>,
   writer: Symbol('writer') as InjectionToken<BoundedWriter>,
@@ -60,45 +60,49 @@
   >,
 } as const;
 
-/** Registers every part; each is made once, when it is first asked for. */
+/** Registers all components as singletons, created when first resolved. */
 export function composeFleetNode(ports: FleetPorts): DependencyContainer {
   const container = root.createChildContainer();
-  const once = registerOnceIn(container);
+  const registerSingleton = registerOnceIn(container);
   container.register(FLEET_TOKENS.ports, {useValue: ports});
-  once(FLEET_TOKENS.writer, () => new BoundedWriter(STANDARD_OUTPUT));
-  once(FLEET_TOKENS.log, createLog);
-  once(FLEET_TOKENS.metrics, () => createPrometheusMetrics());
-  once(FLEET_TOKENS.host, createHost);
-  once(FLEET_TOKENS.pools, () => new UpstreamPools());
-  once(FLEET_TOKENS.channels, createChannels);
-  once(
+  registerSingleton(
+    FLEET_TOKENS.writer,
+    () => new BoundedWriter(STANDARD_OUTPUT),
+  );
+  registerSingleton(FLEET_TOKENS.log, createLog);
+  registerSingleton(FLEET_TOKENS.metrics, () => createPrometheusMetrics());
+  registerSingleton(FLEET_TOKENS.host, createHost);
+  registerSingleton(FLEET_TOKENS.pools, () => new UpstreamPools());
+  registerSingleton(FLEET_TOKENS.channels, createChannels);
+  registerSingleton(
     FLEET_TOKENS.peerTraffic,
-    (parts) => new PeerTraffic(parts.resolve(FLEET_TOKENS.metrics)),
+    (dependencies) =>
+      new PeerTraffic(dependencies.resolve(FLEET_TOKENS.metrics)),
   );
-  once(FLEET_TOKENS.news, () => new Subscribers<PeerNews>());
-  once(FLEET_TOKENS.followers, createFollowers);
-  once(FLEET_TOKENS.remote, createRemoteExchanges);
-  once(FLEET_TOKENS.guardService, createGuardService);
-  once(FLEET_TOKENS.entryService, createEntryService);
-  once(FLEET_TOKENS.peerServer, createPeerServer);
+  registerSingleton(FLEET_TOKENS.news, () => new Subscribers<PeerNews>());
+  registerSingleton(FLEET_TOKENS.followers, createFollowers);
+  registerSingleton(FLEET_TOKENS.remote, createRemoteExchanges);
+  registerSingleton(FLEET_TOKENS.guardService, createGuardService);
+  registerSingleton(FLEET_TOKENS.entryService, createEntryService);
+  registerSingleton(FLEET_TOKENS.peerServer, createPeerServer);
   return container;
 }
 
-function createLog(parts: DependencyContainer): DecisionLog {
-  const {box, dataCentre} = parts.resolve(FLEET_TOKENS.ports).settings;
-  const writer = parts.resolve(FLEET_TOKENS.writer);
+function createLog(dependencies: DependencyContainer): DecisionLog {
+  const {box, dataCentre} = dependencies.resolve(FLEET_TOKENS.ports).settings;
+  const writer = dependencies.resolve(FLEET_TOKENS.writer);
   return new DecisionLog({
-    clock: Date.now, // lines of different boxes are compared by the time of day
+    clock: Date.now, // lines of different boxes are ordered by the time of day
     writeLine: (line) => writer.writeLine(line),
     common: {box, dataCentre},
   });
 }
 
-function createHost(parts: DependencyContainer): FleetHost {
-  const {settings, store, readConfiguration} = parts.resolve(
+function createHost(dependencies: DependencyContainer): FleetHost {
+  const {settings, store, readConfiguration} = dependencies.resolve(
     FLEET_TOKENS.ports,
   );
-  const channels = parts.resolve(FLEET_TOKENS.channels);
+  const channels = dependencies.resolve(FLEET_TOKENS.channels);
   const incarnation = makeIncarnation(steadyClock(), Math.random);
   return new FleetHost(
     settings,
@@ -109,46 +113,50 @@
       onClockGain,
       every,
       store,
-      askPeer: (address, question, done) =>
-        channels.exchange(address, question, done),
+      askPeer: (address, query, done) =>
+        channels.exchange(address, query, done),
     },
     readConfiguration,
-    parts.resolve(FLEET_TOKENS.log),
+    dependencies.resolve(FLEET_TOKENS.log),
   );
 }
 
 function createChannels(
-  parts: DependencyContainer,
+  dependencies: DependencyContainer,
 ): PeerChannels<PeerQuestion, PeerKnowledge> {
-  const log = parts.resolve(FLEET_TOKENS.log);
-  const metrics = parts.resolve(FLEET_TOKENS.metrics);
+  const log = dependencies.resolve(FLEET_TOKENS.log);
+  const metrics = dependencies.resolve(FLEET_TOKENS.metrics);
   return new PeerChannels(new ControlTraffic(), (peer, cause) => {
     log.event('peer-connection-renewed', {peer, cause});
     metrics.increment('peer.renewed', {cause});
   });
 }
 
-function createFollowers(parts: DependencyContainer): Subscribers<PeerNews> {
-  const host = parts.resolve(FLEET_TOKENS.host);
+function createFollowers(
+  dependencies: DependencyContainer,
+): Subscribers<PeerNews> {
+  const host = dependencies.resolve(FLEET_TOKENS.host);
   return new Subscribers<PeerNews>((count) => host.followersChanged(count));
 }
 
-function createRemoteExchanges(parts: DependencyContainer): RemoteExchanges {
-  const channels = parts.resolve(FLEET_TOKENS.channels);
-  const traffic = parts.resolve(FLEET_TOKENS.peerTraffic);
-  const host = parts.resolve(FLEET_TOKENS.host);
+function createRemoteExchanges(
+  dependencies: DependencyContainer,
+): RemoteExchanges {
+  const channels = dependencies.resolve(FLEET_TOKENS.channels);
+  const traffic = dependencies.resolve(FLEET_TOKENS.peerTraffic);
+  const host = dependencies.resolve(FLEET_TOKENS.host);
   return new RemoteExchanges(
     (address) => channels.client(address),
-    newsExchange(parts),
+    createNewsHandlers(dependencies),
     (address) => channels.renew(address, 'stream-silent'),
     (address) => traffic.counter(host.placeOf(address)),
   );
 }
 
-function newsExchange(parts: DependencyContainer): NewsExchange {
-  const host = parts.resolve(FLEET_TOKENS.host);
-  const subscribers = parts.resolve(FLEET_TOKENS.news);
-  const followers = parts.resolve(FLEET_TOKENS.followers);
+function createNewsHandlers(dependencies: DependencyContainer): NewsExchange {
+  const host = dependencies.resolve(FLEET_TOKENS.host);
+  const subscribers = dependencies.resolve(FLEET_TOKENS.news);
+  const followers = dependencies.resolve(FLEET_TOKENS.followers);
   return {
     first: () => versionNews(host),
     onNews: (news, answer) => {
@@ -172,7 +180,7 @@
           host.limits.replied(news);
           break;
         case 'follow':
-          // Only the end that serves the stream is asked for this, and takes it.
+          // Handled by the stream server, the only end that receives it.
           break;
       }
     },
@@ -181,7 +189,7 @@
   };
 }
 
-/** What peers are told of the version in force here. */
+/** Returns the message that informs peers of the version in force here. */
 export function versionNews(host: FleetHost): PeerNews {
   return {
     kind: 'version',
@@ -190,17 +198,17 @@
   };
 }
 
-function createGuardService(parts: DependencyContainer): GuardService {
-  const host = parts.resolve(FLEET_TOKENS.host);
-  const log = parts.resolve(FLEET_TOKENS.log);
-  const metrics = parts.resolve(FLEET_TOKENS.metrics);
-  const {upstreamProtocol} = parts.resolve(FLEET_TOKENS.ports);
+function createGuardService(dependencies: DependencyContainer): GuardService {
+  const host = dependencies.resolve(FLEET_TOKENS.host);
+  const log = dependencies.resolve(FLEET_TOKENS.log);
+  const metrics = dependencies.resolve(FLEET_TOKENS.metrics);
+  const {upstreamProtocol} = dependencies.resolve(FLEET_TOKENS.ports);
   return new GuardService({
     clock: steadyClock,
     random: Math.random,
     every,
     brain: host.guard,
-    pools: parts.resolve(FLEET_TOKENS.pools),
+    pools: dependencies.resolve(FLEET_TOKENS.pools),
     protocol: upstreamProtocol,
     onOther: (action) => host.guardActed(action),
     onEnded: (record) => {
@@ -218,20 +226,20 @@
   });
 }
 
-function createEntryService(parts: DependencyContainer): EntryService {
-  const host = parts.resolve(FLEET_TOKENS.host);
-  const guard = parts.resolve(FLEET_TOKENS.guardService);
-  const remote = parts.resolve(FLEET_TOKENS.remote);
-  const log = parts.resolve(FLEET_TOKENS.log);
-  const {callerProtocol, settings} = parts.resolve(FLEET_TOKENS.ports);
+function createEntryService(dependencies: DependencyContainer): EntryService {
+  const host = dependencies.resolve(FLEET_TOKENS.host);
+  const guard = dependencies.resolve(FLEET_TOKENS.guardService);
+  const remote = dependencies.resolve(FLEET_TOKENS.remote);
+  const log = dependencies.resolve(FLEET_TOKENS.log);
+  const {callerProtocol, settings} = dependencies.resolve(FLEET_TOKENS.ports);
   return new EntryService({
     clock: steadyClock,
     random: Math.random,
     brain: host.entry,
-    logger: loggerOf(log),
-    metrics: parts.resolve(FLEET_TOKENS.metrics),
+    logger: createDecisionLogger(log),
+    metrics: dependencies.resolve(FLEET_TOKENS.metrics),
     largestBodyBytes: () =>
-      host.routing?.configuration.limits.bodyBytes ?? FIRST_LARGEST_BODY_BYTES,
+      host.routing?.configuration.limits.bodyBytes ?? INITIAL_BODY_LIMIT_BYTES,
     protocol: callerProtocol({
       routing: () => host.routing,
       settings: () => host.settings,
@@ -250,7 +258,7 @@
     onSilence: (box) => remote.wasSilent(host.peerAddress(box)),
     onEnded: (record) => {
       log.call(record);
-      if (isFailed(record)) {
+      if (hasFailed(record)) {
         guard.handle({kind: 'own-call-failed'});
       }
     },
@@ -261,7 +269,7 @@
   });
 }
 
-function isFailed({outcome, status}: CallRecord): boolean {
+function hasFailed({outcome, status}: CallRecord): boolean {
   return (
     outcome === 'not-run' ||
     outcome === 'unknown' ||
@@ -270,24 +278,24 @@
 }
 
 function createPeerServer(
-  parts: DependencyContainer,
+  dependencies: DependencyContainer,
 ): PeerServer<PeerQuestion, PeerKnowledge> {
-  const host = parts.resolve(FLEET_TOKENS.host);
-  const guard = parts.resolve(FLEET_TOKENS.guardService);
-  const news = newsExchange(parts);
+  const host = dependencies.resolve(FLEET_TOKENS.host);
+  const guard = dependencies.resolve(FLEET_TOKENS.guardService);
+  const news = createNewsHandlers(dependencies);
   const begin: BeginExchange = (head, handlers) => guard.begin(head, handlers);
   return new PeerServer<PeerQuestion, PeerKnowledge>(
     {
       call: (stream) => serveGuardStream(stream, begin),
       exchanges: (stream) => serveExchangeStream(stream, begin, news),
-      exchange: (question, reply) =>
-        reply(host.fleet.answer(steadyClock(), question)),
+      exchange: (query, reply) =>
+        reply(host.fleet.answer(steadyClock(), query)),
     },
     new ControlTraffic(),
   );
 }
 
-function loggerOf(log: DecisionLog): Logger {
+function createDecisionLogger(log: DecisionLog): Logger {
   return {
     debug: () => undefined,
     info: (message, fields) => log.event('info', {message, ...fields}),
--- a/packages/node/src/process/fleetEntrySettings.ts
+++ b/packages/node/src/process/fleetEntrySettings.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** How the entries of a declared fleet offer calls. */
+/** Entry settings of a declared fleet. */
 
 import {UNSENT_REFUSALS} from '@lockpin/brain';
 import type {EntrySettings} from '@lockpin/brain';
@@ -11,37 +11,51 @@
 import type {MechanismSwitch} from './mechanisms.js';
 
 /**
- * Nearby, every upstream that a service has in a data centre of today, so that
- * their entries share its load; far, enough to go to when those are full.
+ * Number of upstreams of a service that an entry uses. Local: all upstreams
+ * that a service currently has in a data centre, so that their entries share
+ * its load. Remote: enough as an alternative when the local ones are full.
  */
 const SUBSET_SIZES = {local: 16, remote: 8} as const;
 
-/** Offers that ask for a free slot at once, then some that may wait. */
-const OFFERS_ON_EACH_TERMS = 3;
+/** Offers that require a free slot, made before offers that may be queued. */
+const OFFERS_PER_TERMS = 3;
 
-/** A slot frees within the time that calls take; the pause doubles. */
+/**
+ * First pause between rounds of offers, after which a slot may be free; it
+ * doubles.
+ */
 const PAUSE_MILLISECONDS = 30;
 
 /**
- * Held longer in vain, a call had better be told when to come back: before half
- * of its time is over, its caller can still try again.
+ * Share of its time for which a call without a slot is held. It is then refused
+ * with a retry delay before half of its time is over, so that its caller can
+ * still retry.
  */
 const HELD_SHARE = 0.45;
 
-/** Beyond a round trip between data centres and what a slow box takes to answer. */
-const SILENCE_MILLISECONDS = 80;
+/**
+ * Longer than a round trip between data centres plus the response time of a
+ * slow box.
+ */
+const ACKNOWLEDGEMENT_TIMEOUT_MILLISECONDS = 80;
 
-/** Offers in all; each costs a round trip, and the caller waits meanwhile. */
-const MOST_REROUTES = 8;
+/** Maximum number of reroutes; each delays the caller by a round trip. */
+const MAXIMUM_REROUTES = 8;
 
-/** An offer is answered in a round trip, so one silence is reason enough. */
-const LINK_PATIENCE = {
+/**
+ * Offers are acknowledged within a round trip, so one missing reply is
+ * sufficient.
+ */
+const LINK_AVOIDANCE = {
   failuresToAvoid: 1,
   firstAvoidanceMilliseconds: 500,
   longestAvoidanceMilliseconds: 4000,
 } as const;
 
-/** The settings of an entry whose guards reserve slots and pay for retries. */
+/**
+ * Returns the settings of entries whose guards reserve slots and budget
+ * retries.
+ */
 export function fleetEntrySettings(
   isOn: MechanismSwitch,
   fleet: Pick<EntrySettings, 'quarantinedFor'>,
@@ -51,14 +65,14 @@
       ? chooseByScore
       : chooseByScoreWith({otherDataCentre: 0}),
     subsetSizes: SUBSET_SIZES,
-    linkPatience: LINK_PATIENCE,
+    linkPatience: LINK_AVOIDANCE,
     createBudget: () => PAID_ELSEWHERE,
     firstTerms: 'immediate',
-    offersOnEachTerms: OFFERS_ON_EACH_TERMS,
-    silenceMilliseconds: SILENCE_MILLISECONDS,
+    offersOnEachTerms: OFFERS_PER_TERMS,
+    silenceMilliseconds: ACKNOWLEDGEMENT_TIMEOUT_MILLISECONDS,
     pauseMilliseconds: isOn('holding') ? PAUSE_MILLISECONDS : 0,
     heldShare: HELD_SHARE,
-    mostReroutes: MOST_REROUTES,
+    mostReroutes: MAXIMUM_REROUTES,
     freeRefusals: UNSENT_REFUSALS,
     quarantinedFor: fleet.quarantinedFor,
     replacesOverdue: isOn('overdue-replacement'),
--- a/packages/node/src/process/fleetEnvironment.ts
+++ b/packages/node/src/process/fleetEnvironment.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** What the host of a fleet's node needs of the world, and what it tells the process. */
+/** External dependencies of the host of a fleet's node, and its listeners. */
 
 import type {GuardEvent} from '@lockpin/brain';
 import type {
@@ -14,42 +14,46 @@
 import type {Clock, RandomSource, Resource} from '@lockpin/types';
 import type {GainListener} from '@lockpin/utils';
 
-/** All that the host needs of the world. */
+/** External dependencies of the host. */
 export interface FleetEnvironment {
   readonly clock: Clock;
   readonly random: RandomSource;
-  /** Calls back with each suspension that the clock counts; returns what ends that. */
+  /**
+   * Subscribes to suspensions of the machine; returns a function that
+   * unsubscribes.
+   */
   readonly onClockGain: (listener: GainListener) => () => void;
+  /** Calls a function periodically; returns a function that stops it. */
   readonly every: (milliseconds: number, run: () => void) => () => void;
   readonly store: RecordStore;
   readonly askPeer: (
     address: string,
-    question: PeerQuestion,
-    done: (knowledge: PeerKnowledge | undefined) => void,
+    query: PeerQuestion,
+    done: (reply: PeerKnowledge | undefined) => void,
   ) => void;
 }
 
-/** What the host tells the rest of the process. */
+/** Listeners of the host in the rest of the process. */
 export interface FleetHostListeners {
   readonly onGuardEvent: (event: GuardEvent) => void;
   readonly onUpstreams: (upstreams: readonly Resource<'Upstream'>[]) => void;
   readonly onVersion: (version: number) => void;
-  /** These nodes are to be followed from now on, and no others. */
+  /** Replaces the set of nodes to follow. */
   readonly onFollow: (peers: FollowedPeers) => void;
-  /** For the nodes that follow this one. */
+  /** Sends an update to the nodes that follow this one. */
   readonly onFollowerNews: (news: FleetNews) => void;
-  /** Limits are kept together with other boxes. */
+  /** Sends a rate limit message to another box. */
   readonly onLimitMessage: (box: string, message: LimitMessage) => void;
-  /** A box did not answer; the connection to it may be dead. */
+  /** Called if a box did not answer; the connection to it may be dead. */
   readonly onSilence: (box: string) => void;
-  /** The guard here changed its mind about its upstream. */
+  /** Called if the guard of this node changed the state of its upstream. */
   readonly onStanding: (upstream: string, hint: LoadHint) => void;
-  /** For the nodes whose entries call here. */
+  /** Sends an update to the nodes whose entries call this node. */
   readonly onEntryNews: (news: FleetNews) => void;
-  /** For the nodes at these addresses. */
+  /** Sends an update to the nodes at these addresses. */
   readonly onNodeNews: (addresses: readonly string[], news: FleetNews) => void;
-  /** No upstream is to run this request. */
+  /** Called if no upstream may run this request any more. */
   readonly onQuarantined: (requestDigest: string) => void;
-  /** The machine was suspended, and timers with it. */
+  /** Called after the machine, and with it all timers, was suspended. */
   readonly onSuspended: () => void;
 }
--- a/packages/node/src/process/fleetGuardSettings.ts
+++ b/packages/node/src/process/fleetGuardSettings.ts
@@ -1,12 +1,15 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** How the guards of a declared fleet treat calls. */
+/** Guard settings of a declared fleet. */
 
 import {DEFAULT_GUARD_SETTINGS} from '@lockpin/brain';
 import type {GuardSettings} from '@lockpin/brain';
 import {NO_RETRIES} from '@lockpin/routing';
 import type {MechanismSwitch} from './mechanisms.js';
 
-/** The settings of a guard that keeps slots for entries and pays for retries. */
+/**
+ * Returns the settings of guards that reserve slots for entries and budget
+ * retries.
+ */
 export function fleetGuardSettings(
   isOn: MechanismSwitch,
   fleet: Pick<
@@ -27,7 +30,7 @@
     createRetryBudget: isOn('paid-retries')
       ? fleet.createRetryBudget
       : () => NO_RETRIES,
-    // A drain promises that nothing more reaches the upstream.
+    // Once an upstream drains, no further call may reach it.
     drainFinishesQueue: false,
   };
 }
--- a/packages/node/src/process/fleetHost.ts
+++ b/packages/node/src/process/fleetHost.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Drives the brains of a node in a declared fleet. */
+/** Drives the state machines of a node in a declared fleet. */
 
 import type {EntryBrain, GuardBrain} from '@lockpin/brain';
 import {FleetRouting} from '@lockpin/fleet';
@@ -32,12 +32,13 @@
 import {SuspensionReview} from './suspensionReview.js';
 
 /**
- * While calls are under way the guard ticks more often by itself. What the fleet's
- * control waits for takes several hundred milliseconds, and each tick wakes the process.
+ * Interval between ticks. The guard itself ticks more often while calls are in
+ * flight. The waits of the fleet's state machine take several hundred
+ * milliseconds, so shorter intervals would only wake the process more often.
  */
 const TICK_MILLISECONDS = 200;
 
-/** Lives as long as the process. */
+/** Runs the state machines of one node and performs their actions. */
 export class FleetHost {
   readonly fleet: FleetBrain;
   readonly guard: GuardBrain;
@@ -45,16 +46,16 @@
   readonly limits: CustomerLimits;
   readonly keys: FleetKeys;
   private readonly store: FleetStoreCalls;
-  private readonly targets: FleetActionTargets;
+  private readonly actionHandlers: FleetActionTargets;
   private currentRouting: FleetRouting | undefined;
   private listeners: FleetHostListeners | undefined;
-  private stopTicking: (() => void) | undefined;
-  private stopHearingGains: (() => void) | undefined;
-  private readonly suspension: SuspensionReview;
+  private stopTicks: (() => void) | undefined;
+  private unsubscribeFromSuspensions: (() => void) | undefined;
+  private readonly suspensionMonitor: SuspensionReview;
   private isFinishing = false;
-  /** Statements of upstreams that were refused since the start. */
+  /** Number of upstream announcements refused since the start. */
   refusedAnnouncements = 0;
-  /** Nodes that follow this one. */
+  /** Number of nodes that follow this one. */
   private followers = 0;
 
   constructor(
@@ -64,7 +65,7 @@
     readConfiguration: ReadConfiguration,
     private readonly log: DecisionLog,
   ) {
-    this.suspension = new SuspensionReview(log);
+    this.suspensionMonitor = new SuspensionReview(log);
     this.fleet = createFleetBrain(currentSettings, readConfiguration);
     this.store = new FleetStoreCalls(environment.store, log, (event) =>
       this.handle(event),
@@ -83,13 +84,13 @@
       fleet: this.fleet,
       policy: () => this.currentSettings.keys,
       customers: () => this.currentRouting?.customers,
-      askReader: () => this.askReader(),
+      askReader: () => this.queryReader(),
     });
-    this.targets = {
+    this.actionHandlers = {
       store: this.store,
       log,
       listeners: () => this.listeners,
-      askPeer: (address, question) => this.askPeer(address, question),
+      askPeer: (address, query) => this.queryPeer(address, query),
       configurationChanged: (action) => this.configurationChanged(action),
       announcementRefused: () => {
         this.refusedAnnouncements += 1;
@@ -125,33 +126,39 @@
     return this.currentRouting;
   }
 
-  /** A node that knows no configuration would have to guess. */
+  /** Calls cannot be routed before a configuration is known. */
   get isReady(): boolean {
     return this.currentRouting !== undefined;
   }
 
-  /** Calls that begin now could not be finished before the process ends. */
+  /**
+   * Whether new calls are refused, since they might not finish before the
+   * process ends.
+   */
   get refusesCalls(): boolean {
     return this.isFinishing;
   }
 
-  /** Only what is in flight is served from here on. */
+  /** Refuses new calls from now on; calls in flight are still served. */
   finish(): void {
     this.isFinishing = true;
   }
 
-  /** Asks a reader for a newer configuration; false when none can be asked. */
-  private askReader(): boolean {
+  /**
+   * Queries a reader for a newer configuration; returns false if none is
+   * reachable.
+   */
+  private queryReader(): boolean {
     this.handle({kind: 'unknown-key-shown'});
     return this.fleet.isAskingPeer;
   }
 
-  /** The address at which a box's node takes calls of other nodes. */
+  /** Returns the address at which a box's node accepts calls of other nodes. */
   peerAddress(box: string): string {
     return this.fleet.directory.get(box)?.peerAddress ?? '';
   }
 
-  /** Whether the node at an address is in this data centre. */
+  /** Returns whether the node at an address is in this data centre. */
   placeOf(address: string): PeerPlace {
     const {dataCentre} = this.currentSettings;
     const isNear = this.fleet.directory.dataCentreAt(address) === dataCentre;
@@ -160,13 +167,14 @@
 
   start(listeners: FleetHostListeners): void {
     this.listeners = listeners;
-    this.stopHearingGains = this.environment.onClockGain((milliseconds) =>
-      this.clockGained(milliseconds),
+    this.unsubscribeFromSuspensions = this.environment.onClockGain(
+      (milliseconds) => this.clockGained(milliseconds),
     );
-    this.stopTicking = this.environment.every(TICK_MILLISECONDS, () => {
-      this.suspension.review(() => listeners.onSuspended());
+    this.stopTicks = this.environment.every(TICK_MILLISECONDS, () => {
+      this.suspensionMonitor.review(() => listeners.onSuspended());
       this.tick();
-      // Boxes lend before the first limit is declared, so that it can be kept at once.
+      // Token pools start before the first limit is declared, so that it is
+      // enforced at once.
       if (this.currentRouting?.customers.asksForKeys) {
         this.limits.tick();
       }
@@ -175,9 +183,11 @@
     this.tick();
   }
 
-  /** Called while the clock is read: no time that counts the gain was seen before. */
+  /**
+   * Called while the clock is read, before any reading includes the suspension.
+   */
   private clockGained(milliseconds: number): void {
-    this.suspension.gained(milliseconds);
+    this.suspensionMonitor.gained(milliseconds);
     this.limits.clockGained(milliseconds);
     this.listeners?.onGuardEvent({kind: 'clock-gained', milliseconds});
   }
@@ -187,22 +197,27 @@
   }
 
   stop(): void {
-    this.stopTicking?.();
-    this.stopHearingGains?.();
+    this.stopTicks?.();
+    this.unsubscribeFromSuspensions?.();
   }
 
-  /** The guard refuses new calls from here on; entries go elsewhere at once. */
+  /**
+   * Makes the guard refuse new calls, so that entries use other boxes at once.
+   */
   leave(): void {
     this.handle({kind: 'leaving'});
     this.listeners?.onGuardEvent({kind: 'leaving'});
   }
 
-  /** Takes over settings that may change while the process runs. */
+  /** Applies settings that may change while the process runs. */
   reload(settings: FleetNodeSettings): void {
     this.currentSettings = settings;
   }
 
-  /** Takes in what the upstream beside this node says of itself, or says why not. */
+  /**
+   * Applies an announcement of the upstream on this box, or returns why it is
+   * refused.
+   */
   announced(
     announcement: UpstreamAnnouncement,
   ): Result<undefined, AnnouncementProblem> {
@@ -213,7 +228,7 @@
       : success(undefined);
   }
 
-  /** Counts the nodes that follow this one. */
+  /** Sets the number of nodes that follow this one. */
   followersChanged(followers: number): void {
     const hasGrown = followers > this.followers;
     this.followers = followers;
@@ -222,17 +237,20 @@
     }
   }
 
-  /** A followed node told something. */
+  /** Handles an update from a followed node. */
   newsTold(news: FleetNews): void {
     this.handle({kind: 'news-told', news});
   }
 
-  /** A peer told the version that is in force there. */
+  /** Handles a peer's report of the version in force there. */
   peerVersionHeard(address: string, version: number): void {
     this.handle({kind: 'peer-version-heard', address, version});
   }
 
-  /** Takes in what the guard came to believe; permits are not used here. */
+  /**
+   * Handles actions of the guard that concern the node; permits are not used
+   * here.
+   */
   guardActed(action: GuardNews): void {
     logGuardNews(this.log, action);
     if (action.kind === 'upstream-crashed') {
@@ -245,17 +263,17 @@
     }
   }
 
-  /** A run of a request ended here, and its upstream lives. */
+  /** Reports that a request ran here and its upstream survived. */
   runSurvived(digest: string): void {
     this.handle({kind: 'run-survived', digest});
   }
 
-  /** An operator lifts a quarantine on all boxes. */
+  /** Lifts the quarantine of a request on all boxes. */
   liftQuarantine(digest: string): void {
     this.handle({kind: 'quarantine-lifted', digest});
   }
 
-  /** The guard of an upstream told how it stands. */
+  /** Handles a load hint from the guard of an upstream. */
   standingHeard(upstream: string, hint: LoadHint): void {
     this.entry.loads.heard(upstream, this.environment.clock(), hint);
   }
@@ -263,14 +281,16 @@
   private handle(event: FleetEvent): readonly FleetAction[] {
     const {clock, random} = this.environment;
     const actions = this.fleet.handle(clock(), random, event);
-    actions.forEach((action) => performFleetAction(this.targets, action));
+    actions.forEach((action) =>
+      performFleetAction(this.actionHandlers, action),
+    );
     return actions;
   }
 
-  private askPeer(address: string, question: PeerQuestion): void {
-    this.environment.askPeer(address, question, (knowledge) => {
-      this.handle({kind: 'peer-replied', address, knowledge});
-      this.keys.answered(knowledge !== undefined);
+  private queryPeer(address: string, query: PeerQuestion): void {
+    this.environment.askPeer(address, query, (reply) => {
+      this.handle({kind: 'peer-replied', address, knowledge: reply});
+      this.keys.answered(reply !== undefined);
     });
   }
 
@@ -278,20 +298,20 @@
     configuration,
     source,
   }: ConfigurationChange): void {
-    const before = this.currentRouting;
+    const previous = this.currentRouting;
     this.currentRouting = new FleetRouting(
       configuration,
       this.fleet.directory,
       this.environment.random,
-      before,
+      previous,
     );
-    if (before !== undefined) {
+    if (previous !== undefined) {
       const {customers} = this.currentRouting;
-      this.limits.limitsChanged(customers.changedLimits(before.customers));
+      this.limits.limitsChanged(customers.changedLimits(previous.customers));
     }
     this.log.event('configuration-in-force', {
       version: configuration.version,
-      before: before?.configuration.version ?? 0,
+      before: previous?.configuration.version ?? 0,
       source,
       routes: configuration.routes.length,
     });
--- a/packages/node/src/process/fleetKeys.ts
+++ b/packages/node/src/process/fleetKeys.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Who a caller is, as far as this node knows, and how it makes sure. */
+/** Authorization of callers by their keys, and confirmation of unknown keys. */
 
 import {mayServeKnownKeys} from '@lockpin/fleet';
 import type {
@@ -12,18 +12,21 @@
 import {failure} from '@lockpin/utils';
 import {KeyConfirmation} from './keyConfirmation.js';
 
-/** What the keys need of their node. */
+/** Dependencies of the key checks. */
 export interface FleetKeysContext {
   readonly clock: Clock;
   readonly fleet: Pick<FleetBrain, 'duty' | 'isCurrent'>;
   readonly policy: () => KeyPolicy;
-  /** Undefined before any configuration is known. */
+  /** Returns undefined before any configuration is known. */
   readonly customers: () => CustomerTable | undefined;
-  /** Asks a reader for a newer configuration; false when none can be asked. */
+  /**
+   * Queries a reader for a newer configuration; returns false if none is
+   * reachable.
+   */
   readonly askReader: () => boolean;
 }
 
-/** Lives as long as the process. */
+/** Authorizes callers by the keys of the configuration in force. */
 export class FleetKeys {
   private readonly confirmation: KeyConfirmation;
 
@@ -31,7 +34,10 @@
     this.confirmation = new KeyConfirmation(context.askReader);
   }
 
-  /** The customer that a caller acts for, by the hash of the key that it showed. */
+  /**
+   * Returns the customer that a caller acts for, by the hash of the caller's
+   * key.
+   */
   authorize(
     hash: string | undefined,
     isPublic: boolean,
@@ -41,26 +47,27 @@
       return failure('not-ready');
     }
     const found = customers.customerOf(hash, isPublic);
-    const isTrusted =
-      !found.ok || found.value === undefined || this.trustsKeys();
-    return isTrusted ? found : failure('keys-outdated');
+    const isAccepted =
+      !found.ok || found.value === undefined || this.mayAcceptKeys();
+    return isAccepted ? found : failure('keys-outdated');
   }
 
   /**
-   * Whether the keys that are known here are the newest, as far as a reader knows. A
-   * refusal of a key is final to its caller, and this version may be older than it.
+   * Whether the keys known here are up to date according to a reader. Callers
+   * do not retry after a key is refused, and a new key may be missing from an
+   * older version.
    */
   async confirm(): Promise<boolean> {
     const {fleet, clock} = this.context;
     return fleet.isCurrent(clock()) || this.confirmation.confirm();
   }
 
-  /** A peer answered a question, or said nothing. */
+  /** Handles the end of a peer query, answered or not. */
   answered(hasAnswered: boolean): void {
     this.confirmation.answered(hasAnswered);
   }
 
-  private trustsKeys(): boolean {
+  private mayAcceptKeys(): boolean {
     const {fleet, clock, policy} = this.context;
     return mayServeKnownKeys(policy(), fleet.duty.newsAge(clock()));
   }
--- a/packages/node/src/process/fleetOperators.ts
+++ b/packages/node/src/process/fleetOperators.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** What operators may ask of a node of a declared fleet. */
+/** The HTTP handler for operators of a node in a declared fleet. */
 
 import type {DependencyContainer} from 'tsyringe';
 import {steadyClock} from '@lockpin/utils';
@@ -7,10 +7,10 @@
 import {quarantineApi} from '../operators/quarantineApi.js';
 import {FLEET_TOKENS} from './fleetComposition.js';
 
-/** The operators' API is at these paths; all others have the metrics. */
+/** Path prefixes of the operators' API; all other paths serve the metrics. */
 const API_PATHS = ['/resources', '/quarantines/'] as const;
 
-/** The operators' API, and the metrics for who collects them. */
+/** Creates the handler of the operators' API and the metrics. */
 export function fleetOperatorHandler(
   container: DependencyContainer,
 ): RequestHandler {
@@ -25,7 +25,7 @@
   });
   return (request, response) => {
     const path = request.url ?? '';
-    const isApi = API_PATHS.some((start) => path.startsWith(start));
+    const isApi = API_PATHS.some((prefix) => path.startsWith(prefix));
     (isApi ? api : metrics)(request, response);
   };
 }
--- a/packages/node/src/process/fleetPorts.ts
+++ b/packages/node/src/process/fleetPorts.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** What a node of a declared fleet is given from outside. */
+/** Ports of a node in a declared fleet, implemented by each deployment. */
 
 import type {
   DeclaredCustomer,
@@ -14,50 +14,57 @@
 import type {UpstreamProtocol} from '../request/upstreamProtocol.js';
 import type {Mechanism} from './mechanisms.js';
 
-/** How many retries the whole fleet may make for a service. */
+/** Retry budget of a service, for the whole fleet. */
 export interface FleetRetryLimit {
-  /** Retries for each call of the window. */
+  /** Retries allowed for each call in the window. */
   readonly ratio: number;
   readonly windowMilliseconds: number;
-  /** Retries of a window on top, for all nodes together. */
+  /** Additional retries allowed in each window, for all nodes together. */
   readonly extra: number;
 }
 
-/** Settings of one node, checked by whoever read them. */
+/** Settings of one node, validated by the deployment. */
 export interface FleetNodeSettings {
   readonly box: string;
   readonly dataCentre: string;
-  /** All that boxes may name; any where none are declared. */
+  /** Data centres that boxes may belong to; any if none are declared. */
   readonly dataCentres?: readonly string[];
-  /** The service whose upstream runs on this box; calls begin in its name. */
+  /**
+   * The service whose upstream runs on this box and makes the calls that start
+   * here.
+   */
   readonly service: string;
   readonly callerAddress: string;
-  /** Where other nodes reach this one. */
+  /** Address at which other nodes reach this one. */
   readonly peerAddress: string;
-  /** Where this node listens for them; differs behind a forwarder. */
+  /**
+   * Address on which this node listens for other nodes; differs behind a proxy.
+   */
   readonly peerListenAddress: string;
-  /** Where the metrics are read; empty for nowhere. */
+  /** Address of the metrics endpoint; empty for none. */
   readonly metricsAddress: string;
-  /** From the signal to stop until the process is killed, in milliseconds. */
+  /** Time from the stop signal until the process is killed, in milliseconds. */
   readonly stopLimitMilliseconds: number;
   readonly retries: FleetRetryLimit;
   readonly keys: KeyPolicy;
-  /** How exactly customers' limits are to be kept. */
+  /** Accuracy with which customers' limits are enforced. */
   readonly limits: LimitRules;
-  /** The fleet starts for the first time; false for every later process. */
+  /**
+   * Whether the fleet starts for the first time; false for every later process.
+   */
   readonly isFirstStart: boolean;
-  /** Mechanisms that are off, to measure what they are worth; none as a rule. */
+  /** Mechanisms switched off to measure their effect; normally none. */
   readonly switchedOff: readonly Mechanism[];
 }
 
-/** What the caller's side may ask of the fleet. */
+/** Information about the fleet for the caller protocol. */
 export interface FleetKnowledge {
-  /** Undefined before any configuration is known. */
+  /** Returns undefined before any configuration is known. */
   readonly routing: () => FleetRouting | undefined;
   readonly settings: () => FleetNodeSettings;
   /**
-   * The customer that a caller acts for, by the hash of the key that it showed; see
-   * keyHash. Undefined where none is asked for.
+   * Returns the customer that a caller acts for, by the hash of the caller's
+   * key (see keyHash). The customer is undefined where no key is required.
    */
   readonly authorize: (
     hash: string | undefined,
@@ -65,14 +72,17 @@
   ) => Result<DeclaredCustomer | undefined, RefusalReason>;
 }
 
-/** Functions that differ between deployments. */
+/** Settings and functions that differ between deployments. */
 export interface FleetPorts {
-  /** As they were at the start. */
+  /** Settings at the start. */
   readonly settings: FleetNodeSettings;
   readonly store: RecordStore;
   readonly readConfiguration: ReadConfiguration;
   readonly callerProtocol: (fleet: FleetKnowledge) => CallerProtocol;
   readonly upstreamProtocol: UpstreamProtocol;
-  /** salt:hash of the operators' token; absent or empty when they may ask nothing. */
+  /**
+   * salt:hash of the operators' token; absent or empty to reject all their
+   * requests.
+   */
   readonly operatorTokenHash?: string;
 }
--- a/packages/node/src/process/fleetStoreCalls.ts
+++ b/packages/node/src/process/fleetStoreCalls.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Makes the calls to the store that the fleet's control wants made. */
+/** Performs the store actions of the fleet's state machine. */
 
 import type {
   FleetAction,
@@ -12,29 +12,29 @@
 } from '@lockpin/fleet';
 import type {DecisionLog} from './decisionLog.js';
 
-/** An action that is a call to the store. */
+/** An action that calls the store. */
 export type StoreAction = FleetAction & {
   readonly kind:
     'read-newest' | 'follow' | 'write' | 'drop-record' | 'write-for';
 };
 
-/** Tells the control how each call ended. */
+/** Calls the store and reports each result to the fleet's state machine. */
 export class FleetStoreCalls {
   constructor(
     private readonly store: RecordStore,
     private readonly log: DecisionLog,
-    private readonly tell: (event: FleetEvent) => void,
+    private readonly handleEvent: (event: FleetEvent) => void,
   ) {}
 
-  /** Makes one call. */
+  /** Performs one action. */
   perform(action: StoreAction): void {
     const {store} = this;
     switch (action.kind) {
       case 'read-newest':
-        this.whenRead(action, store.readNewest(action.stream));
+        this.reportRead(action, store.readNewest(action.stream));
         break;
       case 'follow':
-        this.whenRead(
+        this.reportRead(
           action,
           store.follow(action.stream, action.from, action.waitMilliseconds),
         );
@@ -43,31 +43,34 @@
         void this.write(action.record);
         break;
       case 'drop-record':
-        void this.drop(action.key);
+        void this.deleteRecord(action.key);
         break;
       case 'write-for':
-        void this.writeFor(action.record);
+        void this.writeOnBehalf(action.record);
         break;
     }
   }
 
   private async write(record: StoredRecord): Promise<void> {
     const result = await this.store.write('boxes', record);
-    this.tell({kind: 'write-ended', result});
+    this.handleEvent({kind: 'write-ended', result});
   }
 
-  private async drop(key: string): Promise<void> {
+  private async deleteRecord(key: string): Promise<void> {
     const record = {key, value: undefined};
     const result = await this.store.write('boxes', record);
     this.log.event('box-forgotten', {
       subject: key,
-      // A record that stays is found again by the next node that starts.
+      // If it fails, the next node that starts finds the record and retries.
       problem: result.ok ? '' : result.failure.detail,
     });
   }
 
-  /** What a promise hangs on, for a box that is gone; tried again until it is read. */
-  private async writeFor(record: StoredRecord): Promise<void> {
+  /**
+   * Writes a record that a guarantee depends on, on behalf of a box that is
+   * gone; repeated until it is read back.
+   */
+  private async writeOnBehalf(record: StoredRecord): Promise<void> {
     const result = await this.store.write('boxes', record);
     this.log.event('record-written-for-box', {
       subject: record.key,
@@ -75,12 +78,12 @@
     });
   }
 
-  private whenRead(
+  private reportRead(
     {stream, read}: StreamRead,
-    ending: Promise<StoreResult<RecordPage>>,
+    pendingResult: Promise<StoreResult<RecordPage>>,
   ): void {
-    void ending.then((result) =>
-      this.tell({kind: 'read-ended', stream, read, result}),
+    void pendingResult.then((result) =>
+      this.handleEvent({kind: 'read-ended', stream, read, result}),
     );
   }
 }
--- a/packages/node/src/process/guardNewsLog.ts
+++ b/packages/node/src/process/guardNewsLog.ts
@@ -1,10 +1,10 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** What a guard came to believe, in the log. */
+/** Logging of guard actions that concern the node. */
 
 import type {GuardNews} from '../request/guardService.js';
 import type {DecisionLog} from './decisionLog.js';
 
-/** Writes the line of one piece of news, where it has one. */
+/** Logs a guard action of a kind that is logged; ignores all others. */
 export function logGuardNews(log: DecisionLog, action: GuardNews): void {
   if (action.kind === 'upstream-crashed') {
     const {upstream, digests} = action;
--- a/packages/node/src/process/keyConfirmation.ts
+++ b/packages/node/src/process/keyConfirmation.ts
@@ -1,42 +1,49 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Requests that wait to hear whether an unknown key is known by now. */
+/**
+ * Holds requests with an unknown key until a reader confirms that the keys are
+ * current.
+ */
 
 /**
- * A reader of the own data centre answers within a few milliseconds; a caller with a
- * new key gains by waiting this long, and one without loses little.
+ * Maximum wait. A reader in the same data centre answers within a few
+ * milliseconds, so callers with a new key are served, and others are delayed
+ * only briefly.
  */
-const ANSWER_MILLISECONDS = 300;
+const REPLY_TIMEOUT_MILLISECONDS = 300;
 
-/** Strangers may come in any number; beyond this they are told to ask again. */
-const MOST_WAITING = 100;
+/** Maximum number of waiting requests; further ones are told to retry. */
+const MAXIMUM_WAITING = 100;
 
-/** Asks once for all that wait. */
+/** Shares one query among all waiting requests. */
 export class KeyConfirmation {
   private readonly waiting = new Set<(isConfirmed: boolean) => void>();
 
-  /** The function asks a reader, and returns whether a question is under way. */
-  constructor(private readonly ask: () => boolean) {}
+  /** queryReader starts a query and returns whether one is pending. */
+  constructor(private readonly queryReader: () => boolean) {}
 
-  /** Whether the keys in force here were found to be the newest. */
+  /**
+   * Resolves to whether a reader confirmed that the keys in force here are
+   * current.
+   */
   confirm(): Promise<boolean> {
-    if (this.waiting.size >= MOST_WAITING) {
+    if (this.waiting.size >= MAXIMUM_WAITING) {
       return Promise.resolve(false);
     }
     return new Promise((resolve) => {
-      const timer = setTimeout(() => done(false), ANSWER_MILLISECONDS);
+      const timer = setTimeout(() => done(false), REPLY_TIMEOUT_MILLISECONDS);
       const done = (isConfirmed: boolean): void => {
         clearTimeout(timer);
         this.waiting.delete(done);
         resolve(isConfirmed);
       };
       this.waiting.add(done);
-      if (!this.ask()) {
+      if (!this.queryReader()) {
         done(false);
       }
     });
   }
 
-  /** A reader answered, or said nothing. */
+  /** Handles the end of a query, answered or not. */
   answered(isConfirmed: boolean): void {
     [...this.waiting].forEach((done) => done(isConfirmed));
   }
--- a/packages/node/src/process/lineAllowance.ts
+++ b/packages/node/src/process/lineAllowance.ts
@@ -1,44 +1,47 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** How many log lines may be written, as a token bucket. */
+/** Rate limit of log lines, as a token bucket. */
 
-/** Fills at a steady rate up to a limit; each line takes one token. */
+/** A token bucket that refills at a constant rate up to a limit. */
 export class LineAllowance {
   private tokens: number;
-  private leftOutCount = 0;
+  private droppedCount = 0;
 
   constructor(
-    private filledAt: number,
-    private readonly perSecond: number,
+    private refilledAt: number,
+    private readonly tokensPerSecond: number,
     burstSeconds: number,
   ) {
-    this.most = perSecond * burstSeconds;
-    this.tokens = this.most;
+    this.capacity = tokensPerSecond * burstSeconds;
+    this.tokens = this.capacity;
   }
 
-  private readonly most: number;
+  private readonly capacity: number;
 
-  /** Takes one line's token; counts the line as left out when there is none. */
+  /** Takes one token; counts the line as dropped if none is available. */
   take(now: number): boolean {
-    const seconds = Math.max(0, now - this.filledAt) / 1000;
-    this.tokens = Math.min(this.most, this.tokens + seconds * this.perSecond);
-    this.filledAt = now;
+    const seconds = Math.max(0, now - this.refilledAt) / 1000;
+    this.tokens = Math.min(
+      this.capacity,
+      this.tokens + seconds * this.tokensPerSecond,
+    );
+    this.refilledAt = now;
     if (this.tokens < 1) {
-      this.leftOutCount += 1;
+      this.droppedCount += 1;
       return false;
     }
     this.tokens -= 1;
     return true;
   }
 
-  /** A line was lost after its token was taken. */
+  /** Counts a line that was dropped after its token was taken. */
   leftOut(): void {
-    this.leftOutCount += 1;
+    this.droppedCount += 1;
   }
 
-  /** Lines left out since this was last asked. */
+  /** Returns and resets the number of dropped lines. */
   takeLeftOut(): number {
-    const count = this.leftOutCount;
-    this.leftOutCount = 0;
+    const count = this.droppedCount;
+    this.droppedCount = 0;
     return count;
   }
 }
--- a/packages/node/src/process/mechanisms.ts
+++ b/packages/node/src/process/mechanisms.ts
@@ -1,13 +1,13 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
 /**
- * The mechanisms of routing and protection that can be switched off one by one, to
- * measure what each is worth. A deployment leaves all of them on.
+ * Mechanisms of routing and protection that can be switched off individually to
+ * measure their effect. Deployments leave all of them on.
  */
 
 import type {Result} from '@lockpin/types';
 import {failure, success} from '@lockpin/utils';
 
-/** Every mechanism, with what happens without it. */
+/** Every mechanism, with the behaviour when it is off. */
 export const MECHANISMS = {
   'quick-doubt': 'no upstream is kept from ordinary calls after bad ones',
   'hang-evidence': 'calls that have not ended say nothing of their upstream',
@@ -24,13 +24,16 @@
   'paid-retries': 'nothing pays for second attempts',
 } as const;
 
-/** One of the mechanisms. */
+/** A mechanism that can be switched off. */
 export type Mechanism = keyof typeof MECHANISMS;
 
-/** Says of each mechanism whether it is on. */
+/** Returns whether a mechanism is on. */
 export type MechanismSwitch = (mechanism: Mechanism) => boolean;
 
-/** Reads a list of mechanisms joined by commas; names the first unknown one. */
+/**
+ * Parses a comma-separated list of mechanisms; fails with the first unknown
+ * name.
+ */
 export function readMechanisms(
   text: string,
 ): Result<readonly Mechanism[], string> {
@@ -44,7 +47,7 @@
     : failure(unknown);
 }
 
-/** The switch for a deployment that has some of them off. */
+/** Creates the switch for the given mechanisms that are off. */
 export function mechanismSwitch(
   switchedOff: readonly Mechanism[],
 ): MechanismSwitch {
--- a/packages/node/src/process/metrics.ts
+++ b/packages/node/src/process/metrics.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Metrics by statsd; see docs/reference/metrics.md for the list. */
+/** Metrics over statsd, documented in docs/reference/metrics.md. */
 
 import hotShots from 'hot-shots';
 import {parseAddress} from '@lockpin/utils';
@@ -30,13 +30,13 @@
   'store.restores',
 ] as const;
 
-/** One of the metrics. */
+/** Name of a metric. */
 export type MetricName = (typeof METRIC_NAMES)[number];
 
-/** Labels of one measurement. */
+/** Labels of a measurement. */
 export type MetricTags = Readonly<Record<string, string>>;
 
-/** Counts, times and levels. */
+/** Records counters, timings and gauges. */
 export interface NodeMetrics {
   readonly increment: (name: MetricName, tags?: MetricTags) => void;
   readonly count: (name: MetricName, amount: number, tags?: MetricTags) => void;
@@ -57,7 +57,10 @@
   close: () => undefined,
 };
 
-/** Sends to a collector; does nothing when no address is given. */
+/**
+ * Creates metrics that are sent to a collector; they are discarded without an
+ * address.
+ */
 export function createMetrics(address: string, box: string): NodeMetrics {
   const target = parseAddress(address);
   if (target === undefined) {
--- a/packages/node/src/process/nodeEnvironment.ts
+++ b/packages/node/src/process/nodeEnvironment.ts
@@ -1,5 +1,7 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** What a node needs of the world, and what it tells the rest of its process. */
+/**
+ * External dependencies of a node, and listeners in the rest of its process.
+ */
 
 import type {
   AppendResult,
@@ -20,13 +22,13 @@
 } from '@lockpin/types';
 
 /**
- * All that a node needs of the world. A harness that gives these functions
- * hosts a whole node, with its own time, randomness and network.
+ * All external dependencies of a node. A test harness that provides them can
+ * run a whole node with simulated time, randomness and network.
  */
 export interface NodeEnvironment {
   readonly clock: Clock;
   readonly random: RandomSource;
-  /** Calls back again and again; returns what stops it. */
+  /** Calls a function periodically; returns a function that stops it. */
   readonly every: (milliseconds: number, run: () => void) => () => void;
   readonly sendDatagram: (address: string, datagram: Datagram) => void;
   readonly exchange: (
@@ -46,7 +48,7 @@
   readonly listBoxes: () => Promise<readonly ListedBox[] | undefined>;
 }
 
-/** What the host tells the rest of the process. */
+/** Listeners of the host in the rest of the process. */
 export interface NodeHostListeners {
   readonly onGuardEvent: (event: GuardEvent) => void;
   readonly onUpstreams: (upstreams: readonly Resource<'Upstream'>[]) => void;
--- a/packages/node/src/process/nodeHost.ts
+++ b/packages/node/src/process/nodeHost.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Drives a node's brains and carries out what they decide. */
+/** Drives the state machines of a node and performs their actions. */
 
 import {ControlBrain, EntryBrain, GuardBrain} from '@lockpin/brain';
 import type {
@@ -19,23 +19,29 @@
 import {BoxListPoller} from './boxListPoller.js';
 import type {NodeEnvironment, NodeHostListeners} from './nodeEnvironment.js';
 
-/** While calls are under way the guard ticks more often by itself. */
+/**
+ * Interval between ticks; the guard itself ticks more often while calls are in
+ * flight.
+ */
 const TICK_MILLISECONDS = 200;
 
-/** Lives as long as the process. */
+/** Runs the state machines of one node and performs their actions. */
 export class NodeHost {
   readonly control: ControlBrain;
   readonly guard: GuardBrain;
   readonly entry: EntryBrain;
-  private readonly settlements = new Map<
+  private readonly pendingChanges = new Map<
     string,
     (settlement: ChangeSettlement) => void
   >();
-  private readonly replies = new Map<string, (reply: PeerReply) => void>();
+  private readonly pendingReplies = new Map<
+    string,
+    (reply: PeerReply) => void
+  >();
   private listeners: NodeHostListeners | undefined;
-  private stops: (() => void)[] = [];
+  private stopFunctions: (() => void)[] = [];
   private readonly boxList: BoxListPoller;
-  private replySerial = 0;
+  private lastReplyToken = 0;
   private hasLeft = false;
 
   constructor(
@@ -63,11 +69,11 @@
     return this.hasLeft;
   }
 
-  /** Begins to tick. */
+  /** Starts the ticks. */
   start(listeners: NodeHostListeners): void {
     this.listeners = listeners;
     const {every} = this.environment;
-    this.stops = [
+    this.stopFunctions = [
       every(TICK_MILLISECONDS, () => {
         this.controlTick();
         listeners.onGuardEvent({kind: 'tick'});
@@ -76,12 +82,12 @@
     this.controlTick();
   }
 
-  /** Stops ticking. */
+  /** Stops the ticks. */
   stop(): void {
-    this.stops.forEach((stop) => stop());
+    this.stopFunctions.forEach((stop) => stop());
   }
 
-  /** Announces that this node leaves; from here on it refuses new work. */
+  /** Announces that this node leaves, and makes it refuse new calls. */
   leave(): void {
     this.hasLeft = true;
     this.listeners?.onGuardEvent({kind: 'leaving'});
@@ -98,16 +104,18 @@
     request: PeerRequest,
     reply: (reply: PeerReply) => void,
   ): void {
-    this.replySerial += 1;
-    const token = String(this.replySerial);
-    this.replies.set(token, reply);
+    this.lastReplyToken += 1;
+    const token = String(this.lastReplyToken);
+    this.pendingReplies.set(token, reply);
     this.handle({kind: 'exchange-received', token, request});
   }
 
-  /** Publishes a change; resolves when it was read back, or failed. */
+  /**
+   * Publishes a change; resolves when it was read back from the log or failed.
+   */
   publish(change: ChangeRecord): Promise<ChangeSettlement> {
     return new Promise((resolve) => {
-      this.settlements.set(change.changeId, resolve);
+      this.pendingChanges.set(change.changeId, resolve);
       this.handle({kind: 'change-offered', change});
     });
   }
@@ -116,7 +124,7 @@
     this.handle({kind: 'watchers-counted', count});
   }
 
-  /** Takes the guard's actions that do not concern one exchange. */
+  /** Handles the guard's actions that do not belong to a single exchange. */
   guardActed(action: GuardNews): void {
     if (action.kind === 'standing') {
       return;
@@ -134,7 +142,7 @@
     this.handle({kind: 'guard-reported', service, reports});
   }
 
-  /** Notes something in the time line. */
+  /** Adds an event to the timeline. */
   timeline(
     kind: string,
     subject: string,
@@ -178,19 +186,19 @@
         );
         break;
       case 'reply':
-        this.replies.get(action.token)?.(action.reply);
-        this.replies.delete(action.token);
+        this.pendingReplies.get(action.token)?.(action.reply);
+        this.pendingReplies.delete(action.token);
         break;
       case 'change-settled':
-        this.settlements.get(action.changeId)?.(action.settlement);
-        this.settlements.delete(action.changeId);
+        this.pendingChanges.get(action.changeId)?.(action.settlement);
+        this.pendingChanges.delete(action.changeId);
         break;
       default:
-        this.tell(action);
+        this.notifyListeners(action);
     }
   }
 
-  private tell(action: ControlAction): void {
+  private notifyListeners(action: ControlAction): void {
     const {listeners} = this;
     switch (action.kind) {
       case 'folded':
--- a/packages/node/src/process/ownUpstreamNews.ts
+++ b/packages/node/src/process/ownUpstreamNews.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Tells the process what the upstream of this box has said of itself. */
+/** Applies announcements of the upstream on this box to the process. */
 
 import type {OwnUpstream} from '@lockpin/fleet';
 import {incarnationText} from '@lockpin/utils';
@@ -8,15 +8,15 @@
 import type {FleetNodeSettings} from './fleetPorts.js';
 import {ownUpstreamResource} from './ownUpstreamResource.js';
 
-/** Whose upstream it is, and who is told. */
+/** Settings of the upstream's node, and recipients of the change. */
 export interface OwnUpstreamNews {
   readonly settings: FleetNodeSettings;
   readonly log: DecisionLog;
-  /** Undefined before the process has started. */
+  /** Undefined before the host has started. */
   readonly listeners: FleetHostListeners | undefined;
 }
 
-/** The pools connect to it and the guard takes calls for it from here on. */
+/** Configures the connection pools and the guard for the announced upstream. */
 export function tellOfOwnUpstream(
   {settings, log, listeners}: OwnUpstreamNews,
   upstream: OwnUpstream,
--- a/packages/node/src/process/ownUpstreamResource.ts
+++ b/packages/node/src/process/ownUpstreamResource.ts
@@ -1,12 +1,16 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** The upstream beside a node, as its guard is configured with it. */
+/**
+ * The resource with which a guard is configured for the upstream on its box.
+ */
 
 import {upstreamName} from '@lockpin/fleet';
 import type {OwnUpstream} from '@lockpin/fleet';
 import type {Resource} from '@lockpin/types';
 import type {FleetNodeSettings} from './fleetPorts.js';
 
-/** Only this node connects to it, over as many connections as it has slots. */
+/**
+ * Only this node connects to the upstream, with one connection for each slot.
+ */
 export function ownUpstreamResource(
   {box, dataCentre}: Pick<FleetNodeSettings, 'box' | 'dataCentre'>,
   upstream: OwnUpstream,
--- a/packages/node/src/process/prometheusMetrics.ts
+++ b/packages/node/src/process/prometheusMetrics.ts
@@ -1,20 +1,23 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Counters, levels and latency histograms as text, by prom-client. */
+/**
+ * Counters, gauges and latency histograms in Prometheus text format, with
+ * prom-client.
+ */
 
 import {Counter, Gauge, Histogram, Registry} from 'prom-client';
 import type {MetricName, MetricTags, NodeMetrics} from './metrics.js';
 
-/** Upper ends of the latency buckets, in milliseconds. */
+/** Upper bounds of the latency buckets, in milliseconds. */
 const LATENCY_BUCKETS = [
   1, 2, 5, 10, 20, 50, 100, 200, 300, 500, 800, 1200, 2000, 3000, 5000,
 ];
 
-/** Metrics that can also be read as text. */
+/** Metrics that can be exported as text. */
 export interface TextMetrics extends NodeMetrics {
   readonly text: () => Promise<string>;
 }
 
-/** Keeps the figures of one process. */
+/** Creates the metrics of one process. */
 export function createPrometheusMetrics(): TextMetrics {
   const registry = new Registry();
   const counters = new Map<MetricName, Counter>();
--- a/packages/node/src/process/registerOnce.ts
+++ b/packages/node/src/process/registerOnce.ts
@@ -1,20 +1,20 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Registers parts of a process that are made once, when first asked for. */
+/** Registration of singletons that are created when first resolved. */
 
-// tsyringe refuses to load before it, in whatever order a bundle loads modules.
+// tsyringe requires that this is loaded first, whatever order a bundle uses.
 import 'reflect-metadata';
 import {instanceCachingFactory} from 'tsyringe';
 import type {DependencyContainer, InjectionToken} from 'tsyringe';
 
-/** Registers one part with the container it was made for. */
+/** Registers a singleton with a container. */
 export type RegisterOnce = <T>(
   token: InjectionToken<T>,
-  make: (parts: DependencyContainer) => T,
+  create: (dependencies: DependencyContainer) => T,
 ) => void;
 
-/** Parts that are registered with it are made once in this container. */
+/** Returns a function that registers singletons with a container. */
 export function registerOnceIn(container: DependencyContainer): RegisterOnce {
-  return (token, make) => {
-    container.register(token, {useFactory: instanceCachingFactory(make)});
+  return (token, create) => {
+    container.register(token, {useFactory: instanceCachingFactory(create)});
   };
 }
--- a/packages/node/src/process/runFleetNode.ts
+++ b/packages/node/src/process/runFleetNode.ts
@@ -1,8 +1,10 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Starts a node of a declared fleet, and stops it so that no call is cut. */
+/**
+ * Starts a node of a declared fleet, and stops it without interrupting calls.
+ */
 
 import type {Server} from 'node:http';
-import {setTimeout as pause} from 'node:timers/promises';
+import {setTimeout as delay} from 'node:timers/promises';
 import type {DependencyContainer} from 'tsyringe';
 import {steadyClock} from '@lockpin/utils';
 import {startHttpServer} from '../connection/httpServer.js';
@@ -13,39 +15,50 @@
 import {fleetOperatorHandler} from './fleetOperators.js';
 import {every} from './timers.js';
 
-/** A node that runs. */
+/** A running node. */
 export interface RunningFleetNode {
-  /** Whether callers should be sent here. */
+  /** Whether callers should use this node. */
   readonly isReady: () => boolean;
-  /** Lets callers go elsewhere, finishes what is in flight, and closes; once. */
+  /**
+   * Redirects callers to other nodes, finishes calls in flight and closes;
+   * idempotent.
+   */
   readonly stop: () => Promise<StopResult>;
 }
 
-/** Guards elsewhere take over at once; this box refuses their calls from then. */
-const LEAVE_AFTER_MILLISECONDS = 100;
+/**
+ * Delay from the stop signal until the guard of this box refuses new calls.
+ * Guards of other boxes then take over at once.
+ */
+const LEAVE_DELAY_MILLISECONDS = 100;
 
 /**
- * Share of the stop limit in which callers are still served: they are told to
- * go elsewhere by two readiness checks a second apart, and come until then.
+ * Share of the stop limit during which callers are still served: they stop
+ * using this node only after two failed readiness checks, a second apart.
  */
 const SERVE_SHARE = 0.42;
 
-/** Time for the last answers to go out before connections are closed. */
+/** Time to send the last answers before connections are closed. */
 const LAST_ANSWERS_MILLISECONDS = 50;
 
-/** Kept of the stop limit for the process to end by itself. */
+/** Part of the stop limit reserved for the process to exit. */
 const EXIT_RESERVE_MILLISECONDS = 600;
 
-/** Added to the time after which idle connections of callers are closed. */
-const IDLE_ALLOWANCE_MILLISECONDS = 1000;
+/**
+ * Margin added to the time after which idle connections of callers are closed.
+ */
+const IDLE_MARGIN_MILLISECONDS = 1000;
 
-/** A node that was killed is there again within a second; a look costs little. */
-const FOLLOW_AGAIN_MILLISECONDS = 300;
+/**
+ * Interval between checks for followed nodes to reconnect to. A killed node is
+ * back within a second, and a check is cheap.
+ */
+const REFOLLOW_INTERVAL_MILLISECONDS = 300;
 
-/** Time between lines that say how many bytes went between data centres. */
-const TRAFFIC_LINE_MILLISECONDS = 5000;
+/** Interval between log lines on the traffic between data centres. */
+const TRAFFIC_LOG_INTERVAL_MILLISECONDS = 5000;
 
-/** Starts every part of a composed node. */
+/** Starts all components of a composed node. */
 export async function runFleetNode(
   container: DependencyContainer,
 ): Promise<RunningFleetNode> {
@@ -95,10 +108,10 @@
     },
     onQuarantined: (digest) => entry.requestQuarantined(digest),
   });
-  const stopFollowing = every(FOLLOW_AGAIN_MILLISECONDS, () =>
+  const stopFollowing = every(REFOLLOW_INTERVAL_MILLISECONDS, () =>
     remote.keepFollowing(),
   );
-  every(TRAFFIC_LINE_MILLISECONDS, () => noteTraffic(container));
+  every(TRAFFIC_LOG_INTERVAL_MILLISECONDS, () => logTraffic(container));
   let result: Promise<StopResult> | undefined;
   return {
     isReady: () => host.isReady && !stopping.isStopping,
@@ -110,19 +123,22 @@
   };
 }
 
-/** What was spent on bytes between data centres, for who reads the logs only. */
-function noteTraffic(container: DependencyContainer): void {
+/**
+ * Logs the traffic between data centres, for deployments that only collect
+ * logs.
+ */
+function logTraffic(container: DependencyContainer): void {
   const {betweenDataCentres} = container.resolve(FLEET_TOKENS.peerTraffic);
   container
     .resolve(FLEET_TOKENS.log)
     .event('bytes-between-data-centres', {...betweenDataCentres});
 }
 
-/** How far a node has stopped. */
+/** Progress of a node's stop. */
 interface StopState {
-  /** Callers are told to go elsewhere. */
+  /** Whether callers are told to use other nodes. */
   isStopping: boolean;
-  /** Each answer ends its connection. */
+  /** Whether each answer closes its connection. */
   closesConnections: boolean;
 }
 
@@ -139,15 +155,16 @@
   };
 }
 
-/** The limits of the version in force hold for connections, old and new. */
+/**
+ * Applies the limits of the version in force to existing and new connections.
+ */
 function applyLimits(container: DependencyContainer, callers: Server): void {
   const host = container.resolve(FLEET_TOKENS.host);
   const limits = host.routing?.configuration.limits;
   if (limits === undefined) {
     return;
   }
-  callers.keepAliveTimeout =
-    limits.idleMilliseconds + IDLE_ALLOWANCE_MILLISECONDS;
+  callers.keepAliveTimeout = limits.idleMilliseconds + IDLE_MARGIN_MILLISECONDS;
   callers.headersTimeout = limits.headerMilliseconds;
 }
 
@@ -160,14 +177,14 @@
   const guard = container.resolve(FLEET_TOKENS.guardService);
   const entry = container.resolve(FLEET_TOKENS.entryService);
   const {stopLimitMilliseconds} = host.settings;
-  const begunAt = steadyClock();
-  const limit = begunAt + stopLimitMilliseconds - EXIT_RESERVE_MILLISECONDS;
+  const startedAt = steadyClock();
+  const limit = startedAt + stopLimitMilliseconds - EXIT_RESERVE_MILLISECONDS;
   stopping.isStopping = true;
-  await pause(LEAVE_AFTER_MILLISECONDS);
+  await delay(LEAVE_DELAY_MILLISECONDS);
   host.leave();
-  await pause(stopLimitMilliseconds * SERVE_SHARE - LEAVE_AFTER_MILLISECONDS);
+  await delay(stopLimitMilliseconds * SERVE_SHARE - LEAVE_DELAY_MILLISECONDS);
   stopping.closesConnections = true;
-  // A connection that was opened and has carried no request yet counts as busy.
+  // A connection without a request yet counts as busy and stays open.
   host.finish();
   callers.close();
   callers.closeIdleConnections();
@@ -175,9 +192,9 @@
   host.stop();
   if (result === 'limit-reached') {
     entry.giveUpAll();
-    await pause(LAST_ANSWERS_MILLISECONDS);
+    await delay(LAST_ANSWERS_MILLISECONDS);
   }
-  // At once when all is finished, so that no call can come in between.
+  // Immediately after the last call, so that no new call can arrive.
   callers.closeAllConnections();
   container.resolve(FLEET_TOKENS.peerServer).stop();
   container.resolve(FLEET_TOKENS.channels).close();
--- a/packages/node/src/process/runNode.ts
+++ b/packages/node/src/process/runNode.ts
@@ -1,8 +1,10 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Starts a node's servers, and stops them so that no call in flight is cut. */
+/**
+ * Starts a node's servers, and stops them without interrupting calls in flight.
+ */
 
 import type {Server} from 'node:http';
-import {setTimeout as pause} from 'node:timers/promises';
+import {setTimeout as delay} from 'node:timers/promises';
 import type {DependencyContainer} from 'tsyringe';
 import {isUsable} from '@lockpin/membership';
 import {startHttpServer} from '../connection/httpServer.js';
@@ -10,19 +12,19 @@
 import {finishCalls} from './finishCalls.js';
 import type {StopResult} from './finishCalls.js';
 
-/** A node that runs. */
+/** A running node. */
 export interface RunningNode {
-  /** Refuses new work, finishes what is in flight, and closes; once. */
+  /** Refuses new calls, finishes calls in flight and closes; idempotent. */
   readonly stop: () => Promise<StopResult>;
 }
 
-/** Milliseconds between the gauges that are sent. */
-const GAUGE_MILLISECONDS = 10_000;
+/** Interval between updates of the gauges. */
+const GAUGE_INTERVAL_MILLISECONDS = 10_000;
 
-/** Others need this long to hear that the node leaves. */
+/** Time for other nodes to learn that this node leaves. */
 const ANNOUNCE_MILLISECONDS = 500;
 
-/** Starts every part of a composed node. */
+/** Starts all components of a composed node. */
 export async function runNode(
   container: DependencyContainer,
 ): Promise<RunningNode> {
@@ -60,7 +62,7 @@
       }
     },
   });
-  const stopGauges = every(GAUGE_MILLISECONDS, () => {
+  const stopGauges = every(GAUGE_INTERVAL_MILLISECONDS, () => {
     metrics.gauge('guard.occupied', guard.callCount);
     metrics.gauge('configuration.version', host.control.keeper.version);
     const members = host.control.membership.all();
@@ -85,7 +87,7 @@
   const entry = container.resolve(TOKENS.entryService);
   const limit = Date.now() + settings.stopLimitMilliseconds;
   host.leave();
-  await pause(ANNOUNCE_MILLISECONDS);
+  await delay(ANNOUNCE_MILLISECONDS);
   const result = await finishCalls([guard, entry], Date.now, limit);
   host.stop();
   container.resolve(TOKENS.watches).stop();
--- a/packages/node/src/process/subscribers.ts
+++ b/packages/node/src/process/subscribers.ts
@@ -1,17 +1,17 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Tells whoever wants to know of something new. */
+/** A set of subscribers to messages of one type. */
 
-/** Functions that are called with each piece of news. */
+/** Listeners that are called with each message. */
 export class Subscribers<T> {
-  private readonly listeners = new Set<(news: T) => void>();
+  private readonly listeners = new Set<(message: T) => void>();
 
-  /** Told of the number of listeners each time that it changes. */
+  /** onCount receives the number of listeners each time it changes. */
   constructor(
     private readonly onCount: (count: number) => void = () => undefined,
   ) {}
 
-  /** Adds a listener; returns what takes it out again. */
-  add(listener: (news: T) => void): () => void {
+  /** Adds a listener; returns a function that removes it. */
+  add(listener: (message: T) => void): () => void {
     this.listeners.add(listener);
     this.onCount(this.listeners.size);
     return () => {
@@ -20,7 +20,7 @@
     };
   }
 
-  tell(news: T): void {
-    this.listeners.forEach((listener) => listener(news));
+  tell(message: T): void {
+    this.listeners.forEach((listener) => listener(message));
   }
 }
--- a/packages/node/src/process/suspensionReview.ts
+++ b/packages/node/src/process/suspensionReview.ts
@@ -1,21 +1,27 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Looks through the calls in hand after the machine was suspended. */
+/** Triggers a check of calls in flight after the machine was suspended. */
 
 import type {DecisionLog} from './decisionLog.js';
 
-/** The clock counts suspension, timers do not: what is overdue ends at the next look. */
+/**
+ * Timers do not include suspensions, but the clock does, so deadlines may have
+ * passed.
+ */
 export class SuspensionReview {
-  /** Suspension that the calls in hand were not looked through for, in milliseconds. */
+  /** Suspension since the last check of calls in flight, in milliseconds. */
   private suspended = 0;
 
   constructor(private readonly log: DecisionLog) {}
 
-  /** The clock counts so much more from now on. */
+  /** Adds a suspension that the clock now includes. */
   gained(milliseconds: number): void {
     this.suspended += milliseconds;
   }
 
-  /** Calls back where calls may be overdue that no timer will end. */
+  /**
+   * Logs a suspension and calls back if calls may be overdue without a timer
+   * firing.
+   */
   review(onSuspended: () => void): void {
     if (this.suspended > 0) {
       const milliseconds = Math.round(this.suspended);
--- a/packages/node/src/process/timelineStore.ts
+++ b/packages/node/src/process/timelineStore.ts
@@ -1,20 +1,20 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** The time line of one node, kept in memory. */
+/** The timeline of one node, kept in memory. */
 
 import type {TimelineEvent} from '@lockpin/types';
 import {RingBuffer, compareHybridTimes} from '@lockpin/utils';
 
-const KEPT_EVENTS = 20_000;
+const MAXIMUM_EVENTS = 20_000;
 
 /** Keeps the latest events. */
 export class TimelineStore {
-  private readonly events = new RingBuffer<TimelineEvent>(KEPT_EVENTS);
+  private readonly events = new RingBuffer<TimelineEvent>(MAXIMUM_EVENTS);
 
   add(event: TimelineEvent): void {
     this.events.push(event);
   }
 
-  /** Events since a time in milliseconds, earliest first. */
+  /** Returns events since a time in milliseconds, earliest first. */
   since(milliseconds: number): readonly TimelineEvent[] {
     return this.events
       .toArray()
--- a/packages/node/src/process/timers.ts
+++ b/packages/node/src/process/timers.ts
@@ -1,7 +1,7 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Timers of a real process. */
+/** Timers based on the event loop. */
 
-/** Calls back again and again; returns what stops it. */
+/** Calls a function periodically; returns a function that stops it. */
 export function every(milliseconds: number, run: () => void): () => void {
   const timer = setInterval(run, milliseconds);
   return () => clearInterval(timer);
--- a/packages/node/src/settings/readSettings.ts
+++ b/packages/node/src/settings/readSettings.ts
@@ -11,10 +11,10 @@
 } from './settingsSchema.js';
 import type {NodeSettings} from './settingsSchema.js';
 
-/** What the command line asked for. */
+/** The result of parsing the command line. */
 export interface SettingsRequest {
   readonly settings: Result<NodeSettings, readonly FieldProblem[]>;
-  /** Only validate, then exit. */
+  /** Whether to exit after validation. */
   readonly isCheck: boolean;
 }
 
@@ -22,7 +22,9 @@
   SETTING_DESCRIPTIONS,
 ) as readonly (keyof NodeSettings)[];
 
-/** Parses arguments; flags win over the environment, both over defaults. */
+/**
+ * Parses arguments; flags override the environment, and both override defaults.
+ */
 export async function readSettings(
   args: readonly string[],
 ): Promise<SettingsRequest> {
@@ -52,7 +54,7 @@
   return {settings: checkSettings(values), isCheck: parsed.check};
 }
 
-/** Checks values against the schema; each problem names its flag. */
+/** Validates values against the schema; each problem names its flag. */
 export function checkSettings(
   values: Readonly<Record<string, unknown>>,
 ): Result<NodeSettings, readonly FieldProblem[]> {
@@ -72,7 +74,10 @@
   );
 }
 
-/** Only the settings' own variables are read; others may be anybody's. */
+/**
+ * Reads only the variables of known settings; others may belong to other
+ * programs.
+ */
 function fromEnvironment(
   name: string,
   isNumber: boolean,
--- a/packages/node/src/settings/settingsSchema.ts
+++ b/packages/node/src/settings/settingsSchema.ts
@@ -1,5 +1,7 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** The settings of a node: one schema for flags and environment variables. */
+/**
+ * The settings of a node, with one schema for flags and environment variables.
+ */
 
 import {LOG_LEVELS} from '@lockpin/logger';
 import {parseAddress} from '@lockpin/utils';
@@ -15,7 +17,7 @@
 
 const optionalAddress = z.union([z.literal(''), address]);
 
-/** Every setting with its limits; DEFAULT_SETTINGS has what may be left out. */
+/** Every setting and its limits; those in DEFAULT_SETTINGS are optional. */
 export const settingsSchema = z.strictObject({
   box: name,
   dataCentre: name,
@@ -35,10 +37,10 @@
   snapshotEveryMilliseconds: z.number().int().min(1000),
 });
 
-/** The settings of a node, checked. */
+/** The validated settings of a node. */
 export type NodeSettings = Readonly<z.infer<typeof settingsSchema>>;
 
-/** What holds when a setting is left out. */
+/** Values of settings that are not given. */
 export const DEFAULT_SETTINGS = {
   metricsAddress: '',
   logLevel: 'info',
@@ -49,7 +51,7 @@
   snapshotEveryMilliseconds: 21_600_000,
 } as const satisfies Partial<NodeSettings>;
 
-/** What each setting is for; shown by --help and in the reference. */
+/** Descriptions of the settings, shown by --help and in the reference. */
 export const SETTING_DESCRIPTIONS: Readonly<
   Record<keyof NodeSettings, string>
 > = {
--- a/packages/node/src/version/watchHub.ts
+++ b/packages/node/src/version/watchHub.ts
@@ -1,20 +1,23 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Watches: every change once, in order, and how far it is in force. */
+/**
+ * Watch streams: every change once, in order, and on how many nodes it is in
+ * force.
+ */
 
 import type {ServerResponse} from 'node:http';
 import type {ChangeEffect, FoldResult} from '@lockpin/configuration';
 import {isFleetWide, maySee, visible} from '../operators/access.js';
 import type {Operator} from '../operators/access.js';
 
-/** How many nodes have a version in force, of how many. */
+/** Number of nodes that have a version in force, and of all usable nodes. */
 export interface InForceCount {
   readonly nodes: number;
   readonly of: number;
-  /** Some of the boxes that have it not yet. */
+  /** Some of the boxes that do not have it in force yet. */
   readonly missing: readonly string[];
 }
 
-/** What the hub needs of the node. */
+/** Dependencies of a watch hub. */
 export interface WatchHubDependencies {
   readonly version: () => number;
   readonly inForce: (version: number) => InForceCount;
@@ -24,35 +27,38 @@
 interface Watcher {
   readonly operator: Operator;
   readonly response: ServerResponse;
-  /** Versions told of that are not yet in force everywhere. */
-  readonly open: Map<number, number>;
+  /**
+   * Versions not yet in force everywhere, with the node count that was last
+   * sent.
+   */
+  readonly pendingVersions: Map<number, number>;
 }
 
-/** A watcher that does not read this many bytes is cut off; it can resume. */
-const MOST_UNREAD_BYTES = 4 * 1024 * 1024;
+/** A watcher with more unread bytes is disconnected; it can resume. */
+const MAXIMUM_UNREAD_BYTES = 4 * 1024 * 1024;
 
-const BOOKMARK_MILLISECONDS = 5000;
-const IN_FORCE_MILLISECONDS = 100;
+const BOOKMARK_INTERVAL_MILLISECONDS = 5000;
+const IN_FORCE_INTERVAL_MILLISECONDS = 100;
 
-/** Feeds watchers; lives as long as the process. */
+/** Sends changes to watchers. */
 export class WatchHub {
   private readonly watchers = new Set<Watcher>();
   private timers: readonly NodeJS.Timeout[] = [];
 
   constructor(private readonly dependencies: WatchHubDependencies) {}
 
-  /** Adds a watcher that has missed the given changes. */
+  /** Adds a watcher and sends the changes that it has missed. */
   add(
     operator: Operator,
     response: ServerResponse,
     missed: readonly FoldResult[],
   ): void {
-    const watcher: Watcher = {operator, response, open: new Map()};
+    const watcher: Watcher = {operator, response, pendingVersions: new Map()};
     response.writeHead(200, {'content-type': 'application/jsonl'});
     this.watchers.add(watcher);
     this.startTimers();
     response.on('close', () => this.remove(watcher));
-    missed.forEach((fold) => this.tell(watcher, fold));
+    missed.forEach((fold) => this.sendChange(watcher, fold));
     this.write(watcher, {
       type: 'bookmark',
       version: this.dependencies.version(),
@@ -60,14 +66,17 @@
     this.dependencies.onWatcherCount(this.watchers.size);
   }
 
-  /** Tells all watchers of new changes. */
+  /** Sends new changes to all watchers. */
   folded(folds: readonly FoldResult[]): void {
     for (const watcher of this.watchers) {
-      folds.forEach((fold) => this.tell(watcher, fold));
+      folds.forEach((fold) => this.sendChange(watcher, fold));
     }
   }
 
-  /** The state was replaced whole: watches cannot go on without a gap. */
+  /**
+   * Ends all watches after the state was replaced, since changes would be
+   * missing.
+   */
   expire(oldest: number): void {
     for (const watcher of this.watchers) {
       this.write(watcher, {type: 'version-expired', oldest});
@@ -83,8 +92,11 @@
   private startTimers(): void {
     if (this.timers.length === 0) {
       this.timers = [
-        setInterval(() => this.bookmark(), BOOKMARK_MILLISECONDS),
-        setInterval(() => this.tellInForce(), IN_FORCE_MILLISECONDS),
+        setInterval(() => this.bookmark(), BOOKMARK_INTERVAL_MILLISECONDS),
+        setInterval(
+          () => this.sendInForceCounts(),
+          IN_FORCE_INTERVAL_MILLISECONDS,
+        ),
       ];
     }
   }
@@ -102,7 +114,7 @@
     this.dependencies.onWatcherCount(this.watchers.size);
   }
 
-  private tell(watcher: Watcher, fold: FoldResult): void {
+  private sendChange(watcher: Watcher, fold: FoldResult): void {
     const {outcome, changeId, author} = fold;
     const effects = fold.effects.filter(({kind, name}) =>
       maySee(watcher.operator, kind, name),
@@ -111,26 +123,29 @@
       return;
     }
     const {version} = outcome;
-    watcher.open.set(version, -1);
+    watcher.pendingVersions.set(version, -1);
     this.write(watcher, {
       type: 'change',
       version,
       changeId,
       author,
-      effects: effects.map(shownEffect),
+      effects: effects.map(toVisibleEffect),
     });
   }
 
-  private tellInForce(): void {
+  private sendInForceCounts(): void {
     for (const watcher of this.watchers) {
-      for (const [version, toldNodes] of watcher.open) {
+      for (const [version, sentCount] of watcher.pendingVersions) {
         const count = this.dependencies.inForce(version);
-        if (count.nodes !== toldNodes) {
-          watcher.open.set(version, count.nodes);
-          this.write(watcher, inForceEvent(watcher.operator, version, count));
+        if (count.nodes !== sentCount) {
+          watcher.pendingVersions.set(version, count.nodes);
+          this.write(
+            watcher,
+            createInForceEvent(watcher.operator, version, count),
+          );
         }
         if (count.nodes >= count.of) {
-          watcher.open.delete(version);
+          watcher.pendingVersions.delete(version);
         }
       }
     }
@@ -145,7 +160,7 @@
 
   private write(watcher: Watcher, event: unknown): void {
     const {response} = watcher;
-    if (response.writableLength > MOST_UNREAD_BYTES) {
+    if (response.writableLength > MAXIMUM_UNREAD_BYTES) {
       response.destroy();
       return;
     }
@@ -153,7 +168,7 @@
   }
 }
 
-function shownEffect({kind, name, before, after}: ChangeEffect): unknown {
+function toVisibleEffect({kind, name, before, after}: ChangeEffect): unknown {
   return {
     kind,
     name,
@@ -162,8 +177,11 @@
   };
 }
 
-/** A customer's operator learns how many nodes, not which boxes. */
-function inForceEvent(
+/**
+ * Operators of a single customer see the number of nodes, but not the names of
+ * boxes.
+ */
+function createInForceEvent(
   operator: Operator,
   version: number,
   {nodes, of, missing}: InForceCount,
--- a/packages/types/src/failures.ts
+++ b/packages/types/src/failures.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Typed failures, told apart by their kind. */
+/** Typed failures, discriminated by kind. */
 
 import type {FieldProblem} from './records.js';
 
@@ -8,13 +8,13 @@
   | {readonly ok: true; readonly value: T}
   | {readonly ok: false; readonly failure: F};
 
-/** What can go wrong when talking to the platform's log. */
+/** Failures of a request to the platform's log. */
 export type LogFailure =
   | {readonly kind: 'log-unreachable'; readonly detail: string}
   | {readonly kind: 'log-busy'; readonly retryAfterMilliseconds: number}
   | {readonly kind: 'records-expired'; readonly first: number};
 
-/** What the operators' API answers when it does not do as asked. */
+/** Failure responses of the operators' API. */
 export type ApiFailure =
   | {
       readonly kind: 'invalid';
@@ -34,7 +34,7 @@
   | {readonly kind: 'not-ready'}
   | {
       readonly kind: 'log-unavailable';
-      /** not-published: it will never take effect; unknown: watch for it. */
+      /** not-published: never takes effect; unknown: may still take effect. */
       readonly outcome: 'not-published' | 'unknown';
       readonly changeId: string;
     };
--- a/packages/types/src/random.ts
+++ b/packages/types/src/random.ts
@@ -1,8 +1,8 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Randomness and time as functions, so that every decision can be replayed. */
+/** Randomness and time as functions, so that decisions can be replayed. */
 
-/** A number from 0 up to, not including, 1. */
+/** Returns a number from 0 (inclusive) to 1 (exclusive). */
 export type RandomSource = () => number;
 
-/** Milliseconds since 1970. */
+/** Returns milliseconds since 1970. */
 export type Clock = () => number;
--- a/packages/types/src/records.ts
+++ b/packages/types/src/records.ts
@@ -20,23 +20,23 @@
       readonly basedOn: number;
     };
 
-/** A set of writes that takes effect whole or not at all. */
+/** A set of writes that is applied atomically. */
 export interface ChangeRecord {
   readonly kind: 'change';
-  /** Identity by which its author finds it again in the log. */
+  /** Unique id by which its author finds the change in the log. */
   readonly changeId: string;
-  /** Name of the token that wrote it; never the secret. */
+  /** Name of the token that authorized the change; never its secret. */
   readonly author: string;
   readonly writes: readonly Write[];
 }
 
-/** A record with its place in the log. */
+/** A record with its offset in the log. */
 export interface LogRecord<T = ChangeRecord> {
   readonly offset: number;
   readonly value: T;
 }
 
-/** What the fold made of a change; the same on every node. */
+/** Result of folding a change into the state; the same on every node. */
 export type ChangeOutcome =
   | {readonly kind: 'accepted'; readonly version: number}
   | {
@@ -53,7 +53,7 @@
       readonly problems: readonly FieldProblem[];
     };
 
-/** A field that is wrong and what mends it. */
+/** An invalid field and how to correct it. */
 export interface FieldProblem {
   readonly field: string;
   readonly problem: string;
--- a/packages/types/src/refusals.ts
+++ b/packages/types/src/refusals.ts
@@ -1,7 +1,7 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Why a call got no answer, and whether it ran. */
+/** Why a call got no answer from an upstream, and whether it ran. */
 
-/** Whether a refused call ran: never, at any time, or not known. */
+/** Whether a refused call ran: it never did and never will, or unknown. */
 export type RefusalOutcome = 'not-run' | 'unknown';
 
 /** Every reason for which lockpin refuses a call. */
@@ -15,7 +15,7 @@
   | 'customer-over-limit'
   | 'limit-unknown'
   | 'request-malformed'
-  /** It has ended the upstreams that ran it. */
+  /** The request crashed the upstreams that ran it. */
   | 'request-quarantined'
   | 'body-too-large'
   | 'no-upstream'
@@ -53,6 +53,6 @@
 export interface Refusal {
   readonly reason: RefusalReason;
   readonly outcome: RefusalOutcome;
-  /** When to come back, in milliseconds; 0 when no wait is known to help. */
+  /** Delay before a retry, in milliseconds; 0 if no delay is known to help. */
   readonly retryAfterMilliseconds: number;
 }
--- a/packages/types/src/resources.ts
+++ b/packages/types/src/resources.ts
@@ -1,42 +1,42 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** The resources that operators write, as they stand in the log. */
+/** The resources that operators write, as stored in the log. */
 
 /** The kinds of resource an operator can write. */
 export type ResourceKind =
   'Customer' | 'Service' | 'Upstream' | 'Route' | 'Token';
 
-/** A customer: an owner of services that trusts no other customer. */
+/** A customer: owns services and is isolated from other customers. */
 export interface CustomerSpec {
-  /** Share of a contended upstream relative to other customers; 1 is usual. */
+  /** Share of a contended upstream relative to other customers; usually 1. */
   readonly fairShareWeight: number;
 }
 
-/** How detection trades speed against false ejections. */
+/** How failure detection trades speed against false ejections. */
 export type Sensitivity = 'fast' | 'balanced' | 'careful';
 
-/** A service: a set of interchangeable upstreams and the floor they keep. */
+/** A service: a set of interchangeable upstreams and their capacity floor. */
 export interface ServiceSpec {
   /** Slots that ejection must leave in service. */
   readonly floorSlots: number;
-  /** Slots the operator means to have in all; shown in status. */
+  /** Slots that the operator plans to have in total; shown in status. */
   readonly targetSlots: number;
-  /** Path on each upstream that reports its load; a hint only. */
+  /** Path on each upstream that reports its load; used as a hint only. */
   readonly loadReportPath: string;
   readonly sensitivity: Sensitivity;
-  /** Host header that names this service, besides the documented header. */
+  /** Host header that selects this service, besides the documented header. */
   readonly host: string;
-  /** Salted hash of the credential that callers must show; empty for none. */
+  /** Salted hash of the credential required of callers; empty for none. */
   readonly callerCredentialHash: string;
 }
 
-/** Whether an upstream takes new work. */
+/** Whether an upstream accepts new calls. */
 export type UpstreamState = 'in-service' | 'draining';
 
 /** One process of an upstream. */
 export interface UpstreamIncarnation {
-  /** May be used again by a process that starts later. */
+  /** May be reused by a later process. */
   readonly id: string;
-  /** By the clock of its box, in milliseconds since 1970; 0 where it is not told. */
+  /** By the clock of its box, in milliseconds since 1970; 0 if not reported. */
   readonly startedAt: number;
 }
 
@@ -45,26 +45,29 @@
   /** IP address and port, such as 127.0.0.1:8080. */
   readonly address: string;
   readonly dataCentre: string;
-  /** The box it runs on; the lockpin process there guards it. */
+  /** The box it runs on; its guard is the lockpin process of that box. */
   readonly box: string;
-  /** Calls it can work on at the same time. */
+  /** Calls that it can process concurrently. */
   readonly slots: number;
-  /** Connections it accepts at the most. */
+  /** Maximum number of connections that it accepts. */
   readonly connections: number;
   readonly state: UpstreamState;
   /**
-   * The process that calls are meant for. They name its id where it is known, so that
-   * another process at the address refuses them.
+   * The process that calls are addressed to. Calls carry its id where it is
+   * known, so that another process at the same address refuses them.
    */
   readonly incarnation?: UpstreamIncarnation;
-  /** It answers slowly until then, in milliseconds since 1970. */
+  /**
+   * End of its warm-up, in milliseconds since 1970; it answers slowly until
+   * then.
+   */
   readonly coldUntil?: number;
 }
 
 /**
- * Whether a kind of call may run more than once. A once-only call carries a key
- * under which its outcome can be asked again; an at-most-once call has none, so
- * it is never sent a second time unless the first certainly did not run.
+ * Whether a kind of call may run more than once. A once-only call carries an
+ * idempotency key by which its outcome can be queried; an at-most-once call has
+ * none, so it is retried only if the first attempt certainly did not run.
  */
 export type Repetition = 'repeatable' | 'once-only' | 'at-most-once';
 
@@ -74,21 +77,24 @@
   readonly method: string;
   readonly pathPrefix: string;
   readonly repetition: Repetition;
-  /** How long a caller waits at the most, in milliseconds. */
+  /** Maximum time that a caller waits, in milliseconds. */
   readonly waitMilliseconds: number;
-  /** 0 is the most urgent, 9 the least. */
+  /** From 0 (most urgent) to 9 (least urgent). */
   readonly priority: number;
   /** Retries allowed as a share of recent calls, 0 to 1. */
   readonly retryShare: number;
   /** Header that carries the once key of a once-only call. */
   readonly onceKeyHeader: string;
-  /** Upstreams that one call may run on at the most; absent means the default. */
+  /**
+   * Maximum number of upstreams that one call may run on; absent means the
+   * default.
+   */
   readonly mostAttempts?: number;
-  /** Answers within this time are worth most, in milliseconds. */
+  /** Target response time, in milliseconds; later answers are worth less. */
   readonly goalMilliseconds?: number;
 }
 
-/** An operator's credential; only a salted hash is kept. */
+/** An operator's credential; only a salted hash is stored. */
 export interface TokenSpec {
   /** A customer's name, or * for the whole fleet. */
   readonly scope: string;
@@ -96,7 +102,7 @@
   readonly hash: string;
 }
 
-/** The spec that belongs to each kind. */
+/** The spec type of each kind. */
 export interface SpecByKind {
   readonly Customer: CustomerSpec;
   readonly Service: ServiceSpec;
@@ -105,7 +111,7 @@
   readonly Token: TokenSpec;
 }
 
-/** A resource in force, with the version of the change that last wrote it. */
+/** A resource in force and the version of the change that last wrote it. */
 export interface Resource<K extends ResourceKind = ResourceKind> {
   readonly kind: K;
   /** Customer, customer/service or customer/service/name. */
--- a/packages/types/src/timeline.ts
+++ b/packages/types/src/timeline.ts
@@ -1,18 +1,18 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Events of the time line that all processes keep. */
+/** Events of the timeline that every process keeps. */
 
-/** A hybrid logical time: milliseconds, then a counter that breaks ties. */
+/** A hybrid logical timestamp: milliseconds and a tie-breaking counter. */
 export interface HybridTime {
   readonly milliseconds: number;
   readonly counter: number;
 }
 
-/** One decision or change of state, for operators to read. */
+/** A decision or state change, recorded for operators. */
 export interface TimelineEvent {
   readonly time: HybridTime;
   readonly box: string;
   readonly kind: string;
-  /** What it concerns: a resource, a box or a call. */
+  /** The resource, box or call that the event concerns. */
   readonly subject: string;
   readonly detail: Readonly<Record<string, string | number | boolean>>;
 }
--- a/packages/utils/src/__tests__/countingClock.test.ts
+++ b/packages/utils/src/__tests__/countingClock.test.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** A clock through suspensions, and through time of day that is set or slewed. */
+/** The clock during suspensions and while the time of day is set or slewed. */
 
 import fc from 'fast-check';
 import {describe, expect, it} from 'vitest';
@@ -18,13 +18,13 @@
     sinceBoot: () => this.sinceBoot,
   });
 
-  runs(milliseconds: number): void {
+  run(milliseconds: number): void {
     this.steady += milliseconds;
     this.timeOfDay += milliseconds;
     this.sinceBoot += milliseconds;
   }
 
-  sleeps(milliseconds: number): void {
+  suspend(milliseconds: number): void {
     this.timeOfDay += milliseconds;
     this.sinceBoot += milliseconds;
   }
@@ -33,10 +33,10 @@
     this.timeOfDay += milliseconds;
   }
 
-  /** Milliseconds that the clock counts while something happens. */
-  counted(happens: () => void): number {
+  /** Returns the milliseconds by which the clock advances during an action. */
+  elapsed(action: () => void): number {
     const before = this.clock.now();
-    happens();
+    action();
     return this.clock.now() - before;
   }
 }
@@ -44,82 +44,84 @@
 describe('the clock', () => {
   it.each([1000, 5000, 60_000, 36_000_000])(
     'counts a suspension of %i ms',
-    (sleep) => {
+    (suspended) => {
       const machine = new Machine();
-      const heard: number[] = [];
-      const stop = machine.clock.onGain((gain) => heard.push(gain));
-      const counted = machine.counted(() => {
-        machine.runs(100);
-        machine.sleeps(sleep);
-        machine.runs(20);
+      const suspensions: number[] = [];
+      const unsubscribe = machine.clock.onGain((gain) =>
+        suspensions.push(gain),
+      );
+      const elapsed = machine.elapsed(() => {
+        machine.run(100);
+        machine.suspend(suspended);
+        machine.run(20);
       });
-      expect(counted).toBe(sleep + 120);
+      expect(elapsed).toBe(suspended + 120);
       machine.clock.now();
-      expect(heard).toEqual([sleep]);
-      stop();
-      machine.counted(() => {
-        machine.sleeps(sleep);
-        machine.runs(20);
+      expect(suspensions).toEqual([suspended]);
+      unsubscribe();
+      machine.elapsed(() => {
+        machine.suspend(suspended);
+        machine.run(20);
       });
-      expect(heard).toEqual([sleep]);
+      expect(suspensions).toEqual([suspended]);
     },
   );
 
   it('does not move with time of day that is set backwards', () => {
     const machine = new Machine();
-    const counted = machine.counted(() => {
+    const elapsed = machine.elapsed(() => {
       machine.setTimeOfDay(-7000);
-      machine.runs(10);
+      machine.run(10);
     });
-    expect(counted).toBe(10);
+    expect(elapsed).toBe(10);
   });
 
   /*
-   * Seen in a reading of the clock, not in operation. Somebody sets the time of day of a
-   * box forwards by an hour. The box takes that for a suspension: all records of other
-   * boxes are 15 minutes old at the most and lapse, its own are stated ahead of time by
-   * more than the five minutes that others accept, and it stays so until it is started
-   * again. Cause: a gap between the two clocks does not tell which of them was moved.
+   * Guards against taking a time of day that is set forwards by an hour for a
+   * suspension: a gap between the two clocks does not tell which of them moved.
+   * All records of other boxes would expire after 15 minutes, and the box's own
+   * records would be dated further ahead than the 5 minutes that others accept,
+   * until the process restarts.
    */
   it('does not move with time of day that is set forwards by an hour', () => {
     const machine = new Machine();
-    const counted = machine.counted(() => {
+    const elapsed = machine.elapsed(() => {
       machine.setTimeOfDay(3_600_000);
-      machine.runs(10);
+      machine.run(10);
     });
-    expect(counted).toBe(10);
+    expect(elapsed).toBe(10);
   });
 
-  it('does not gain from time of day that is slewed for hours', () => {
+  it('does not gain time while the time of day is slewed for hours', () => {
     const machine = new Machine();
-    const counted = machine.counted(() => {
+    const elapsed = machine.elapsed(() => {
       for (let i = 0; i < 50_000; i += 1) {
-        machine.runs(200);
+        machine.run(200);
         machine.setTimeOfDay(0.1);
         machine.clock.now();
       }
     });
-    expect(counted).toBeCloseTo(10_000_000, 3);
+    expect(elapsed).toBeCloseTo(10_000_000, 3);
   });
 
-  it('never goes back, and never lacks a suspension, whatever is set meanwhile', () => {
+  it('never goes back and includes every suspension while the time of day is set', () => {
     const step = fc.record({
-      runs: fc.integer({min: 1, max: 400}),
-      sleeps: fc.oneof(fc.constant(0), fc.integer({min: 300, max: 60_000})),
-      setBack: fc.oneof(fc.constant(0), fc.integer({min: 1, max: 5000})),
+      run: fc.integer({min: 1, max: 400}),
+      suspend: fc.oneof(fc.constant(0), fc.integer({min: 300, max: 60_000})),
+      setBackBy: fc.oneof(fc.constant(0), fc.integer({min: 1, max: 5000})),
     });
     fc.assert(
       fc.property(fc.array(step), (steps) => {
         const machine = new Machine();
-        for (const {runs, sleeps, setBack} of steps) {
-          const counted = machine.counted(() => {
-            machine.runs(runs);
-            machine.sleeps(sleeps);
+        for (const {run, suspend, setBackBy} of steps) {
+          const elapsed = machine.elapsed(() => {
+            machine.run(run);
+            machine.suspend(suspend);
           });
-          expect(counted).toBe(runs + sleeps);
-          const afterwards = machine.counted(() => {
-            machine.setTimeOfDay(-setBack);
-            machine.runs(1);
+          expect(elapsed).toBe(run + suspend);
+          const afterwards = machine.elapsed(() => {
+            machine.setTimeOfDay(-setBackBy);
+            machine.run(1);
           });
           expect(afterwards).toBe(1);
         }
@@ -127,15 +129,15 @@
     );
   });
 
-  it('counts no gap that is too short to matter', () => {
+  it('ignores gaps up to the shortest suspension', () => {
     const machine = new Machine();
     const gap = SHORTEST_SUSPENSION_MILLISECONDS;
-    const counted = (sleep: number) =>
-      machine.counted(() => {
-        machine.sleeps(sleep);
-        machine.runs(1);
+    const elapsed = (suspended: number) =>
+      machine.elapsed(() => {
+        machine.suspend(suspended);
+        machine.run(1);
       });
-    expect(counted(gap)).toBe(1);
-    expect(counted(gap + 1)).toBe(gap + 2);
+    expect(elapsed(gap)).toBe(1);
+    expect(elapsed(gap + 1)).toBe(gap + 2);
   });
 });
--- a/packages/utils/src/__tests__/positions.test.ts
+++ b/packages/utils/src/__tests__/positions.test.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Places in a stream are ordered by era first. */
+/** Positions in a stream are ordered by era first. */
 
 import {describe, expect, it} from 'vitest';
 import {comparePositions, isLaterPosition} from '../positions.js';
--- a/packages/utils/src/addresses.ts
+++ b/packages/utils/src/addresses.ts
@@ -1,17 +1,20 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Addresses by IP number, since no process may look up a name. */
+/**
+ * Parsing of IP addresses; host names are rejected, since no process may use
+ * DNS.
+ */
 
 import {isIP} from 'node:net';
 
-/** An IP address with a port. */
+/** An IP address and port. */
 export interface SocketAddress {
   readonly host: string;
   readonly port: number;
 }
 
-const LARGEST_PORT = 65_535;
+const MAXIMUM_PORT = 65_535;
 
-/** Reads ip:port or [ip]:port; undefined when it is anything else. */
+/** Parses ip:port or [ip]:port; returns undefined for any other text. */
 export function parseAddress(text: string): SocketAddress | undefined {
   const colon = text.lastIndexOf(':');
   if (colon < 0) {
@@ -23,5 +26,5 @@
     return undefined;
   }
   const port = Number(portText);
-  return port <= LARGEST_PORT ? {host, port} : undefined;
+  return port <= MAXIMUM_PORT ? {host, port} : undefined;
 }
--- a/packages/utils/src/countingClock.ts
+++ b/packages/utils/src/countingClock.ts
@@ -1,99 +1,113 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** A steady clock that goes on while its machine is suspended. */
+/**
+ * A monotonic clock that includes the time for which its machine was suspended.
+ */
 
-/** What the clock is made of; all in milliseconds. */
+/** Time sources of the clock; all in milliseconds. */
 export interface ClockSources {
-  /** Never jumps, but stands still while the machine is suspended. */
+  /** Monotonic, but stops while the machine is suspended. */
   readonly steady: () => number;
-  /** Since 1970; goes on, and may be set forwards and backwards by anybody. */
+  /**
+   * Since 1970; advances during suspension, but may be set in either direction.
+   */
   readonly timeOfDay: () => number;
-  /** Goes on too and is never set, but costs much to read. */
+  /** Advances during suspension and is never set, but is expensive to read. */
   readonly sinceBoot: () => number;
 }
 
 /**
- * The time of day ran ahead of the steady clock by more than this from one reading to
- * the next: the machine was suspended. Nothing that is lent or promised between boxes is
- * timed more closely, and clocks that are slewed gain half a millisecond a second.
+ * If the time of day gains more than this on the steady clock between two
+ * readings, the machine was suspended. Leases and other agreements between
+ * boxes do not depend on shorter times, and a clock that is being slewed gains
+ * half a millisecond per second.
  */
 export const SHORTEST_SUSPENSION_MILLISECONDS = 250;
 
 /**
- * A longer gap counts only as far as the time since boot confirms it. A shorter one counts
- * in any case: what it makes lapse comes back within seconds. An hour of error would cost
- * a node all records of other boxes, which live for 15 minutes, and others its own, which
- * they believe up to 5 minutes ahead.
+ * A longer gap counts only as far as the time since boot confirms it. A shorter
+ * one always counts: what expires because of it is renewed within seconds. An
+ * error of an hour would expire all records of other boxes, which live for 15
+ * minutes, and others would reject this node's own records, which they accept
+ * up to 5 minutes ahead of time.
  */
 export const LONGEST_UNCONFIRMED_MILLISECONDS = 120_000;
 
 /**
- * Time between looks at the time of day, which take half as long as a reading; a call
- * reads the clock some twenty times in one turn of the loop.
+ * Time between checks of the time of day. A check takes half as long as a
+ * reading of this clock, and a call reads this clock some twenty times in one
+ * event loop iteration.
  */
-const LOOK_MILLISECONDS = 1;
+const CHECK_INTERVAL_MILLISECONDS = 1;
 
-/** Hears how many milliseconds of suspension are counted from now on. */
+/** Receives the length of a suspension that the clock includes from now on. */
 export type GainListener = (milliseconds: number) => void;
 
 /**
- * Node.js has no clock that counts suspension: os.uptime() does, but comes from a file
- * that is read each time, in steps of 10 ms. So the gap between steady clock and time of day is watched, and the other is read only where there is one.
- * Time of day that is set forwards looks like a short suspension. Then what was lent to
- * this box lapses too early, which costs a moment; not to count would break promises: a
- * box that slept for 60 s would believe in loans that others have lent anew. What this box
- * has given out must not lapse too early: whoever counts that listens to `onGain`. Time of
- * day that is set backwards changes nothing.
+ * Node.js has no clock that counts suspension: os.uptime() does, but comes from
+ * a file that is read on each call and has a resolution of 10 ms. This clock
+ * therefore compares the steady clock with the time of day and reads
+ * os.uptime() only if they differ. Setting the time of day forwards looks like
+ * a short suspension. Leases held by this box then expire too early, which is
+ * recovered from quickly. Not counting the gap would be unsafe: a box suspended
+ * for 60 s would still use leases that have been granted to others since.
+ * Leases granted by this box must not expire too early; code that tracks them
+ * subscribes to `onSuspension`. Setting the time of day backwards has no
+ * effect.
  */
 export class CountingClock {
   private readonly origin: number;
-  private lead: number;
-  private bootLead: number;
-  private lookedAt = Number.NEGATIVE_INFINITY;
+  private timeOfDayOffset: number;
+  private sinceBootOffset: number;
+  private checkedAt = Number.NEGATIVE_INFINITY;
   private suspended = 0;
   private readonly listeners = new Set<GainListener>();
 
   constructor(private readonly sources: ClockSources) {
     const steady = sources.steady();
     this.origin = sources.timeOfDay() - steady;
-    this.lead = this.origin;
-    this.bootLead = sources.sinceBoot() - steady;
+    this.timeOfDayOffset = this.origin;
+    this.sinceBootOffset = sources.sinceBoot() - steady;
   }
 
   /**
-   * Calls back with each suspension before any reading counts it; returns what ends that.
+   * Calls the listener for each suspension, before any reading includes it;
+   * returns a function that unsubscribes.
    */
   onGain(listener: GainListener): () => void {
     this.listeners.add(listener);
     return () => this.listeners.delete(listener);
   }
 
-  /** Milliseconds since 1970 as they were at the start, and all time since. */
+  /**
+   * Time of day at the start, in milliseconds since 1970, plus all time elapsed
+   * since.
+   */
   now(): number {
     const steady = this.sources.steady();
-    if (steady - this.lookedAt >= LOOK_MILLISECONDS) {
-      this.lookedAt = steady;
-      this.look(steady);
+    if (steady - this.checkedAt >= CHECK_INTERVAL_MILLISECONDS) {
+      this.checkedAt = steady;
+      this.checkTimeOfDay(steady);
     }
     return this.origin + steady + this.suspended;
   }
 
-  private look(steady: number): void {
-    const lead = this.sources.timeOfDay() - steady;
-    const gained = lead - this.lead;
-    this.lead = lead;
-    if (gained > SHORTEST_SUSPENSION_MILLISECONDS) {
-      this.noteGap(gained, steady);
+  private checkTimeOfDay(steady: number): void {
+    const timeOfDayOffset = this.sources.timeOfDay() - steady;
+    const gap = timeOfDayOffset - this.timeOfDayOffset;
+    this.timeOfDayOffset = timeOfDayOffset;
+    if (gap > SHORTEST_SUSPENSION_MILLISECONDS) {
+      this.countGap(gap, steady);
     }
   }
 
-  private noteGap(gap: number, steady: number): void {
-    const bootLead = this.sources.sinceBoot() - steady;
-    const confirmed = bootLead - this.bootLead;
-    this.bootLead = bootLead;
-    const counted = gap > LONGEST_UNCONFIRMED_MILLISECONDS ? confirmed : gap;
-    if (counted > SHORTEST_SUSPENSION_MILLISECONDS) {
-      this.suspended += counted;
-      this.listeners.forEach((listener) => listener(counted));
+  private countGap(gap: number, steady: number): void {
+    const sinceBootOffset = this.sources.sinceBoot() - steady;
+    const confirmed = sinceBootOffset - this.sinceBootOffset;
+    this.sinceBootOffset = sinceBootOffset;
+    const suspension = gap > LONGEST_UNCONFIRMED_MILLISECONDS ? confirmed : gap;
+    if (suspension > SHORTEST_SUSPENSION_MILLISECONDS) {
+      this.suspended += suspension;
+      this.listeners.forEach((listener) => listener(suspension));
     }
   }
 }
