--- a/packages/utils/src/hashing.ts
+++ b/packages/utils/src/hashing.ts
@@ -1,22 +1,27 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Hashes by node's own crypto, for digests and stable choices. */
+/**
+ * Hash functions based on node:crypto, for digests and deterministic choices.
+ */
 
 import {createHash, timingSafeEqual} from 'node:crypto';
 
-/** Stable hashes are whole numbers below this. */
+/** Exclusive upper bound of stable hashes. */
 export const STABLE_HASH_RANGE = 2 ** 48;
 
-/** A 48-bit number that depends on the text alone. */
+/** Returns a 48-bit integer that depends on the text alone. */
 export function stableHash(text: string): number {
   return createHash('sha1').update(text).digest().readUIntBE(0, 6);
 }
 
-/** SHA-256 of text or bytes, in hexadecimal. */
+/** Returns the SHA-256 of text or bytes in hexadecimal. */
 export function sha256Hex(content: string | Uint8Array): string {
   return createHash('sha256').update(content).digest('hex');
 }
 
-/** The first bytes of the SHA-256 of a few lines and what follows them, in base64url. */
+/**
+ * Returns the first bytes of the SHA-256 of lines followed by content, in
+ * base64url.
+ */
 export function shortDigest(
   lines: readonly string[],
   content: Uint8Array,
@@ -27,12 +32,12 @@
   return hash.digest().toString('base64url', 0, bytes);
 }
 
-/** The hash under which a secret is kept. */
+/** Returns the salted hash under which a secret is stored. */
 export function saltedHash(salt: string, secret: string): string {
   return sha256Hex(`${salt}:${secret}`);
 }
 
-/** Compares two texts in a time that does not depend on where they differ. */
+/** Compares two texts in constant time, regardless of where they differ. */
 export function equalInConstantTime(left: string, right: string): boolean {
   const leftHash = createHash('sha256').update(left).digest();
   const rightHash = createHash('sha256').update(right).digest();
--- a/packages/utils/src/hybridClock.ts
+++ b/packages/utils/src/hybridClock.ts
@@ -1,13 +1,15 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Hybrid logical time: causal order over processes, near to real time. */
+/** Hybrid logical clock: causal order across processes, close to real time. */
 
 import type {HybridTime} from '@lockpin/types';
 
-/** Keeps a hybrid time that never goes back and follows what is received. */
+/**
+ * A hybrid logical clock that is monotonic and later than every received time.
+ */
 export class HybridClock {
   private last: HybridTime = {milliseconds: 0, counter: 0};
 
-  /** The time of a new event here. */
+  /** Returns the timestamp of a new local event. */
   tick(now: number): HybridTime {
     this.last =
       now > this.last.milliseconds
@@ -16,7 +18,9 @@
     return this.last;
   }
 
-  /** Takes in the time of a message so that what follows is later. */
+  /**
+   * Merges the timestamp of a received message, so that later events follow it.
+   */
   receive(now: number, remote: HybridTime): void {
     if (compareHybridTimes(remote, this.last) > 0) {
       this.last = remote;
@@ -25,7 +29,7 @@
   }
 }
 
-/** Orders two hybrid times, earlier first. */
+/** Compares two hybrid timestamps, earlier first. */
 export function compareHybridTimes(a: HybridTime, b: HybridTime): number {
   return a.milliseconds - b.milliseconds || a.counter - b.counter;
 }
--- a/packages/utils/src/incarnations.ts
+++ b/packages/utils/src/incarnations.ts
@@ -1,9 +1,9 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Comparing the processes of upstreams: an id may be used again by a later one. */
+/** Comparison of upstream processes: a later process may reuse an id. */
 
 import type {UpstreamIncarnation} from '@lockpin/types';
 
-/** Whether both are one process. */
+/** Whether both are the same process. */
 export function isSameIncarnation(
   a: UpstreamIncarnation | undefined,
   b: UpstreamIncarnation | undefined,
@@ -11,7 +11,7 @@
   return a?.id === b?.id && a?.startedAt === b?.startedAt;
 }
 
-/** The incarnation as one text, as a key and for logs. */
+/** Formats an incarnation as text, for use as a key and in logs. */
 export function incarnationText({id, startedAt}: UpstreamIncarnation): string {
   return `${id}@${startedAt}`;
 }
--- a/packages/utils/src/readerRank.ts
+++ b/packages/utils/src/readerRank.ts
@@ -1,9 +1,13 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Which nodes of a data centre read for the others: those of the lowest rank. */
+/**
+ * Ranks nodes of a data centre; those of the lowest rank read for the others.
+ */
 
 import {stableHash} from './hashing.js';
 
-/** The same on every node, and with no relation to names or addresses. */
+/**
+ * Same result on every node, independent of the order of names and addresses.
+ */
 export function readerRank(box: string): number {
   return stableHash(`log-reader ${box}`);
 }
--- a/packages/utils/src/ringBuffer.ts
+++ b/packages/utils/src/ringBuffer.ts
@@ -1,20 +1,20 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** A list that forgets its oldest items once it is full. */
+/** A fixed-size buffer that overwrites its oldest items. */
 
-/** Keeps at most a fixed number of items in the order they came. */
+/** Keeps the latest items in insertion order, up to a fixed capacity. */
 export class RingBuffer<T> {
   private readonly items: T[] = [];
   private next = 0;
 
   constructor(private readonly capacity: number) {}
 
-  /** Adds an item, dropping the oldest when full. */
+  /** Adds an item, overwriting the oldest when full. */
   push(item: T): void {
     this.items[this.next] = item;
     this.next = (this.next + 1) % this.capacity;
   }
 
-  /** The items, oldest first. */
+  /** Returns the items, oldest first. */
   toArray(): readonly T[] {
     return this.items.length < this.capacity
       ? [...this.items]
--- a/packages/utils/src/statuses.ts
+++ b/packages/utils/src/statuses.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** What HTTP statuses say of a call. */
+/** HTTP status codes. */
 
-/** Statuses from here on say that the call failed at its upstream. */
+/** Status codes from here on mean that the call failed at its upstream. */
 export const FIRST_FAILED_STATUS = 500;
--- a/packages/utils/src/steadyClock.ts
+++ b/packages/utils/src/steadyClock.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** The clock of this process, for all that is measured from one moment to another. */
+/** The monotonic clock of this process, for durations and deadlines. */
 
 import {uptime} from 'node:os';
 import {CountingClock} from './countingClock.js';
@@ -12,15 +12,18 @@
 });
 
 /**
- * Milliseconds since 1970 as they were when the process started, plus the time
- * since. The time of day may be set meanwhile; a deadline must not move with it. Time in
- * which the machine was suspended counts.
+ * Returns the time of day at the start of the process, in milliseconds since
+ * 1970, plus the time elapsed since. Deadlines must not move when the time of
+ * day is set. Includes time for which the machine was suspended.
  */
 export function steadyClock(): number {
   return CLOCK.now();
 }
 
-/** Calls back with each suspension of this machine; returns what ends that. */
+/**
+ * Subscribes to suspensions of this machine; returns a function that
+ * unsubscribes.
+ */
 export function onClockGain(listener: GainListener): () => void {
   return CLOCK.onGain(listener);
 }
