--- a/packages/admission/src/__tests__/admission.test.ts
+++ b/packages/admission/src/__tests__/admission.test.ts
@@ -106,7 +106,7 @@
               gone.add(id);
             }
           } else {
-            const freed = admission.review(now);
+            const freed = admission.expireAndStart(now);
             freed.expired.forEach((call) => gone.add(call.id));
             freed.started.forEach((call) => start(call.id));
           }
@@ -176,8 +176,8 @@
     admission.offer(0, FULL);
     const call = waiting('call', {startBy: 300});
     expect(admission.offer(0, call).kind).toBe('queued');
-    expect(admission.review(300).expired).toEqual([]);
-    expect(admission.review(301).expired).toEqual([call]);
+    expect(admission.expireAndStart(300).expired).toEqual([]);
+    expect(admission.expireAndStart(301).expired).toEqual([call]);
   });
 
   it('starts a call that arrives later when a slot is free', () => {
--- a/packages/admission/src/adaptiveLimit.ts
+++ b/packages/admission/src/adaptiveLimit.ts
@@ -46,7 +46,7 @@
   }
 
   /** Resets the limit for an upstream that has returned and is cold. */
-  cool(): void {
+  resetToCold(): void {
     this.allowed = Math.max(1, this.slots * COLD_SHARE);
   }
 }
--- a/packages/admission/src/admission.ts
+++ b/packages/admission/src/admission.ts
@@ -7,7 +7,7 @@
 import type {WaitingCall} from './fairQueue.js';
 
 /** Decision on a call that was offered. */
-export type Offer =
+export type AdmissionDecision =
   | {readonly kind: 'start'}
   | {readonly kind: 'queued'; readonly displaced: WaitingCall | undefined}
   | {
@@ -17,7 +17,7 @@
     };
 
 /** Queued calls that were started or expired when slots were filled. */
-export interface Freed {
+export interface DispatchResult {
   readonly started: readonly WaitingCall[];
   readonly expired: readonly WaitingCall[];
 }
@@ -84,7 +84,7 @@
   }
 
   /** Decides on a new call. */
-  offer(now: number, call: WaitingCall): Offer {
+  offer(now: number, call: WaitingCall): AdmissionDecision {
     if (this.running.size < this.limit.current && this.queue.size === 0) {
       return this.startOrRefuse(now, call);
     }
@@ -107,7 +107,11 @@
   }
 
   /** Ends a running call and fills its slot; ignores undefined durations. */
-  finish(now: number, id: string, milliseconds: number | undefined): Freed {
+  finish(
+    now: number,
+    id: string,
+    milliseconds: number | undefined,
+  ): DispatchResult {
     this.running.delete(id);
     if (milliseconds !== undefined) {
       this.duration += DURATION_WEIGHT * (milliseconds - this.duration);
@@ -126,8 +130,8 @@
   }
 
   /** Expires queued calls that are too late, and starts those that fit. */
-  review(now: number): Freed {
-    const late = this.queue.overdue(now, (call) => this.expectedOf(call));
+  expireAndStart(now: number): DispatchResult {
+    const late = this.queue.expired(now, (call) => this.expectedOf(call));
     late.forEach(({id}) => this.queue.remove(id));
     const filled = this.fill(now);
     return {started: filled.started, expired: [...late, ...filled.expired]};
@@ -150,11 +154,11 @@
     this.limit.shed();
   }
 
-  cool(): void {
-    this.limit.cool();
+  resetToCold(): void {
+    this.limit.resetToCold();
   }
 
-  private startOrRefuse(now: number, call: WaitingCall): Offer {
+  private startOrRefuse(now: number, call: WaitingCall): AdmissionDecision {
     if (now >= call.deadline) {
       return refused('deadline-too-short', 0);
     }
@@ -162,7 +166,7 @@
     return {kind: 'start'};
   }
 
-  private fill(now: number): Freed {
+  private fill(now: number): DispatchResult {
     const started: WaitingCall[] = [];
     const expired: WaitingCall[] = [];
     while (this.running.size < this.limit.current) {
@@ -220,7 +224,9 @@
     }
     const last = this.queue.leastUrgent();
     const isLessUrgent = last !== undefined && last.priority > call.priority;
-    const displaced = isLessUrgent ? last : this.queue.mostCrowding(call);
+    const displaced = isLessUrgent
+      ? last
+      : this.queue.latestOfBusiestCustomer(call);
     if (displaced === undefined) {
       return 'none';
     }
@@ -233,7 +239,7 @@
   }
 }
 
-function refused(reason: RefusalReason, wait: number): Offer {
+function refused(reason: RefusalReason, wait: number): AdmissionDecision {
   const after = Number.isFinite(wait) ? wait : STUCK_RETRY_MILLISECONDS;
   return {kind: 'refused', reason, retryAfterMilliseconds: Math.ceil(after)};
 }
--- a/packages/admission/src/fairQueue.ts
+++ b/packages/admission/src/fairQueue.ts
@@ -25,7 +25,7 @@
 }
 
 /** The latest time at which the answer to a waiting call may be expected. */
-export function waitsUntil({deadline, usefulUntil}: WaitingCall): number {
+export function latestAnswerTime({deadline, usefulUntil}: WaitingCall): number {
   return Math.min(deadline, usefulUntil ?? deadline);
 }
 
@@ -36,7 +36,7 @@
   duration: number,
 ): boolean {
   const {startBy = Number.POSITIVE_INFINITY} = call;
-  return startAt > startBy || startAt + duration > waitsUntil(call);
+  return startAt > startBy || startAt + duration > latestAnswerTime(call);
 }
 
 interface CustomerQueue {
@@ -168,7 +168,7 @@
    * the latest due of the customer with the longest weighted queue, among calls
    * that are not more urgent.
    */
-  mostCrowding(call: WaitingCall): WaitingCall | undefined {
+  latestOfBusiestCustomer(call: WaitingCall): WaitingCall | undefined {
     const ownLoad = (this.waitingOf(call.customer) + 1) / call.weight;
     let highest = ownLoad;
     let selected: WaitingCall | undefined;
@@ -186,7 +186,7 @@
   }
 
   /** Calls that are too late even if they start now. */
-  overdue(
+  expired(
     now: number,
     needed: (call: WaitingCall) => number,
   ): readonly WaitingCall[] {
--- a/packages/brain/src/__tests__/__fixtures__/callWorld.ts
+++ b/packages/brain/src/__tests__/__fixtures__/callWorld.ts
@@ -296,7 +296,7 @@
     );
     this.schedule(LINK_DELAY_MILLISECONDS + WAIT_MILLISECONDS, () =>
       this.sendToEntry(id, {
-        kind: 'given-up',
+        kind: 'call-aborted',
         callId: id,
         reason: 'deadline-passed',
         wasSent: true,
@@ -325,7 +325,7 @@
         this.recordRefusal(id, action.refusal);
         break;
       case 'pass-answer':
-      case 'pass-spare-answer':
+      case 'pass-fallback-answer':
         this.recordResult({
           request: id,
           outcome: 'answered',
--- a/packages/brain/src/__tests__/__fixtures__/guardWorld.ts
+++ b/packages/brain/src/__tests__/__fixtures__/guardWorld.ts
@@ -1,7 +1,7 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
 /** Test harness for one guard with one upstream. */
 
-import {PAID_ELSEWHERE} from '@lockpin/routing';
+import {UNLIMITED_RETRIES} from '@lockpin/routing';
 import type {RetryAllowance} from '@lockpin/routing';
 import type {Resource} from '@lockpin/types';
 import {seededRandom} from '@lockpin/utils';
@@ -20,7 +20,7 @@
   now = 0;
   constructor(
     slots = 1,
-    createRetryBudget: () => RetryAllowance = () => PAID_ELSEWHERE,
+    createRetryBudget: () => RetryAllowance = () => UNLIMITED_RETRIES,
     heldUpCalls: () => number = () => 0,
     private readonly guard = new GuardBrain(
       {box: 'box', incarnation: 'a'},
--- a/packages/brain/src/__tests__/entryTellsTheTruth.test.ts
+++ b/packages/brain/src/__tests__/entryTellsTheTruth.test.ts
@@ -141,7 +141,7 @@
       return {kind: 'attempt-lost', callId, wasSent: next.wasSent};
     case 'deadline':
       return {
-        kind: 'given-up',
+        kind: 'call-aborted',
         callId,
         reason: 'deadline-passed',
         wasSent: true,
@@ -246,6 +246,8 @@
 
 function isEnd({kind}: EntryAction): boolean {
   return (
-    kind === 'refuse' || kind === 'pass-answer' || kind === 'pass-spare-answer'
+    kind === 'refuse' ||
+    kind === 'pass-answer' ||
+    kind === 'pass-fallback-answer'
   );
 }
--- a/packages/brain/src/__tests__/overdueCalls.test.ts
+++ b/packages/brain/src/__tests__/overdueCalls.test.ts
@@ -83,24 +83,24 @@
       {
         ...DEFAULT_ENTRY_SETTINGS,
         choose: chooseByScore,
-        linkPatience: {
+        linkAvoidance: {
           failuresToAvoid: 1,
           firstAvoidanceMilliseconds: 500,
           longestAvoidanceMilliseconds: 8000,
         },
-        createBudget: () =>
+        createRetryBudget: () =>
           new WindowedRetryBudget(() => ({
             ratio: 0.2,
             windowMilliseconds: 10_000,
             extra: 10,
           })),
-        firstTerms: 'immediate',
-        offersOnEachTerms: 4,
+        initialTerms: 'immediate',
+        offersPerTerms: 4,
         pauseMilliseconds: 30,
         heldShare: 0.4,
-        mostReroutes: 12,
-        freeRefusals: UNSENT_REFUSALS,
-        replacesOverdue: true,
+        maximumReroutes: 12,
+        freeRerouteRefusals: UNSENT_REFUSALS,
+        hedgesOverdue: true,
       },
     );
   }
@@ -180,7 +180,7 @@
     let actions = harness.answerAttempt(500);
     while (
       harness.now < DEADLINE_MILLISECONDS &&
-      !kindsOf(actions).includes('pass-spare-answer')
+      !kindsOf(actions).includes('pass-fallback-answer')
     ) {
       const [action] = actions;
       if (action?.kind === 'pause') {
@@ -191,7 +191,7 @@
       }
       expect(refusalOf(actions)).toBe('');
     }
-    expect(kindsOf(actions)).toEqual(['pass-spare-answer']);
+    expect(kindsOf(actions)).toEqual(['pass-fallback-answer']);
     expect(harness.now).toBeLessThan(DEADLINE_MILLISECONDS / 2);
   });
 
@@ -201,12 +201,12 @@
     harness.answerAttempt(500);
     harness.now = DEADLINE_MILLISECONDS;
     const actions = harness.handle({
-      kind: 'given-up',
+      kind: 'call-aborted',
       callId: '1',
       reason: 'deadline-passed',
       wasSent: true,
     });
-    expect(kindsOf(actions).at(-1)).toBe('pass-spare-answer');
+    expect(kindsOf(actions).at(-1)).toBe('pass-fallback-answer');
     expect(refusalOf(actions)).toBe('');
   });
 
@@ -222,7 +222,10 @@
   it('is passed over at no cost, whatever the kind of call', () => {
     const harness = new EntryHarness(['a', 'b']);
     const first = upstreamOf(harness.receiveCall('at-most-once'));
-    const actions = harness.handle({kind: 'attempt-silent', callId: '1'});
+    const actions = harness.handle({
+      kind: 'attempt-unacknowledged',
+      callId: '1',
+    });
     expect(kindsOf(actions)).toEqual(['cancel-attempt', 'attempt']);
     expect(upstreamOf(actions)).not.toBe(first);
   });
@@ -232,7 +235,7 @@
     harness.receiveCall('at-most-once');
     const ended = {callId: '1', wasSent: false};
     const actions = harness.handle({
-      kind: 'given-up',
+      kind: 'call-aborted',
       reason: 'deadline-passed',
       ...ended,
     });
@@ -271,7 +274,7 @@
   it('gets no immediate offers, but counts as full only for a short time', () => {
     const harness = new EntryHarness(['a', 'b']);
     const full = {state: 'accepting', occupied: 4, limit: 4} as const;
-    harness.entry.loads.heard('s/a', harness.now, full);
+    harness.entry.loads.hintReceived('s/a', harness.now, full);
     expect(upstreamOf(harness.receiveCall('at-most-once'))).toBe('s/b');
     const next = harness.refuseAttempt('s/b', 'upstream-busy');
     expect(next).toMatchObject([{attempt: {terms: 'may-wait'}}]);
@@ -500,7 +503,7 @@
       const harness = new EntryHarness(['a', 'b', 'c']);
       const first = upstreamOf(harness.receiveCall('repeatable'));
       const others = ['s/a', 's/b', 's/c'].filter((name) => name !== first);
-      harness.entry.loads.heard(others[0] ?? '', harness.now, {
+      harness.entry.loads.hintReceived(others[0] ?? '', harness.now, {
         state: 'doubted',
         occupied: 0,
         limit: 4,
--- a/packages/brain/src/entry/answeredAttempts.ts
+++ b/packages/brain/src/entry/answerHandler.ts
@@ -3,8 +3,8 @@
 
 import type {RandomSource} from '@lockpin/types';
 import {FIRST_FAILED_STATUS} from '@lockpin/utils';
-import type {AttemptNews} from './attemptNews.js';
-import type {CallBooks} from './callBooks.js';
+import type {AttemptFeedback} from './attemptFeedback.js';
+import type {CallRegistry} from './callRegistry.js';
 import type {CallOffers} from './callOffers.js';
 import type {CallState} from './callState.js';
 import type {EntryAction, EntryEvent} from './entryMessages.js';
@@ -13,18 +13,18 @@
 import type {UpstreamChooser} from './upstreamChooser.js';
 
 /** Dependencies of the answer handler. */
-export interface AnsweredAttemptsContext {
+export interface AnswerHandlerContext {
   readonly retries: RetryPolicy;
-  readonly books: CallBooks;
+  readonly books: CallRegistry;
   readonly chooser: UpstreamChooser;
   readonly offers: CallOffers;
-  readonly news: AttemptNews;
+  readonly news: AttemptFeedback;
   readonly overdueAttempts: OverdueAttempts;
 }
 
 /** Passes answers to the caller, or keeps them while another attempt runs. */
-export class AnsweredAttempts {
-  constructor(private readonly context: AnsweredAttemptsContext) {}
+export class AnswerHandler {
+  constructor(private readonly context: AnswerHandlerContext) {}
 
   /** Hedges an overdue attempt with a second one elsewhere. */
   overdue(
@@ -33,7 +33,7 @@
     state: CallState,
   ): readonly EntryAction[] {
     const {overdueAttempts, offers} = this.context;
-    const candidate = overdueAttempts.offerElsewhere(now, random, state);
+    const candidate = overdueAttempts.startHedge(now, random, state);
     if (candidate === undefined) {
       return [];
     }
@@ -51,11 +51,11 @@
   ): readonly EntryAction[] {
     const {news, books, overdueAttempts} = this.context;
     const {callId, status} = event;
-    news.answerHeard(now, state.overdueAt ?? '', state, event);
+    news.answerReceived(now, state.overdueUpstream ?? '', state, event);
     if (status >= FIRST_FAILED_STATUS) {
       return books.overdueEnded(state);
     }
-    overdueAttempts.over(state);
+    overdueAttempts.clear(state);
     books.attemptEnded(state);
     return [
       {kind: 'cancel-attempt', callId},
@@ -73,25 +73,25 @@
     const {news, books, retries, chooser, offers} = this.context;
     const {callId, status, isWhole} = event;
     books.attemptEnded(state);
-    news.answerHeard(now, state.upstream, state, event);
+    news.answerReceived(now, state.upstream, state, event);
     const isWorthRetry = status >= FIRST_FAILED_STATUS && isWhole;
     state.mayHaveRun = true;
     state.ran.add(state.upstream);
     if (
       isWorthRetry &&
-      retries.mayRepeat(state) &&
+      retries.isRepeatable(state) &&
       retries.payRetry(now, state)
     ) {
       const candidate = chooser.untried(now, random, state);
       if (candidate !== undefined) {
-        state.hasSpareAnswer = true;
+        state.hasFallbackAnswer = true;
         return [
           offers.send(state, candidate.name, candidate.box, candidate.name),
         ];
       }
     }
     const pass: EntryAction = {kind: 'pass-answer', callId};
-    if (state.overdueAt === undefined) {
+    if (state.overdueUpstream === undefined) {
       return [pass];
     }
     if (isWorthRetry) {
--- a/packages/brain/src/entry/attemptNews.ts
+++ b/packages/brain/src/entry/attemptFeedback.ts
@@ -14,14 +14,14 @@
 >;
 
 /** Records load hints and durations that routing uses. */
-export class AttemptNews {
+export class AttemptFeedback {
   constructor(
     private readonly loads: UpstreamLoads,
     private readonly timing: AttemptTiming,
   ) {}
 
   /** Records the refusal of a guard. */
-  refusalHeard(
+  refusalReceived(
     now: number,
     state: CallState,
     event: EntryEvent & {readonly kind: 'attempt-refused'},
@@ -29,12 +29,12 @@
     const {upstream, hint, refusal} = event;
     this.hintReceived(now, upstream, hint);
     if (hint === undefined && refusal.reason === 'no-upstream') {
-      this.loads.isMissing(state.upstream, now);
+      this.loads.reportedMissing(state.upstream, now);
     }
   }
 
   /** Records an answer; only successful ones count for durations. */
-  answerHeard(
+  answerReceived(
     now: number,
     upstream: string,
     {call}: CallState,
@@ -52,7 +52,7 @@
     hint: LoadHint | undefined,
   ): void {
     if (hint !== undefined) {
-      this.loads.heard(upstream, now, hint);
+      this.loads.hintReceived(upstream, now, hint);
     }
   }
 }
--- a/packages/brain/src/entry/attemptTiming.ts
+++ b/packages/brain/src/entry/attemptTiming.ts
@@ -36,8 +36,8 @@
   }
 
   /** Typical duration of the calls of a route; undefined when not yet known. */
-  usual(route: string): number | undefined {
-    return this.durations.of(route);
+  typicalDuration(route: string): number | undefined {
+    return this.durations.median(route);
   }
 
   /**
@@ -45,23 +45,24 @@
    * was not acknowledged: after several, a slow network is likelier than dead
    * guards.
    */
-  silenceAfter({silences}: CallState): number {
+  acknowledgementTimeout({unacknowledgedOffers: silences}: CallState): number {
     const doublings = Math.min(silences, MAXIMUM_ACKNOWLEDGEMENT_DOUBLINGS);
-    return this.settings.silenceMilliseconds * 2 ** doublings;
+    return this.settings.acknowledgementTimeoutMilliseconds * 2 ** doublings;
   }
 
   /** Time until an attempt is overdue; undefined if it cannot be hedged. */
   overdueAfter(state: CallState): number | undefined {
-    const {replacesOverdue} = this.settings;
+    const {hedgesOverdue: replacesOverdue} = this.settings;
     const mayHedge =
-      this.retries.mayRepeat(state) && this.retries.mayPay(state, 1);
+      this.retries.isRepeatable(state) &&
+      this.retries.hasAttemptsLeft(state, 1);
     if (!replacesOverdue || !mayHedge) {
       return undefined;
     }
     const {name, spec} = state.call.route;
     const goal = spec.goalMilliseconds ?? spec.waitMilliseconds;
     const latest = goal * OVERDUE_GOAL_SHARE;
-    const typical = this.usual(name);
+    const typical = this.typicalDuration(name);
     const typicalLimit =
       typical === undefined ? latest : typical * OVERDUE_FACTOR;
     return Math.max(
--- a/packages/brain/src/entry/callOffers.ts
+++ b/packages/brain/src/entry/callOffers.ts
@@ -4,12 +4,12 @@
 import type {UpstreamLoads} from '@lockpin/routing';
 import type {RandomSource, RefusalReason} from '@lockpin/types';
 import type {AttemptTiming} from './attemptTiming.js';
-import type {CallBooks} from './callBooks.js';
+import type {CallRegistry} from './callRegistry.js';
 import {setTerms} from './callState.js';
 import type {CallState} from './callState.js';
 import type {
   Attempt,
-  BoxKnowledge,
+  BoxAvailability,
   EntryAction,
   EntryCall,
 } from './entryMessages.js';
@@ -24,11 +24,11 @@
 
 /** Dependencies of the offers. */
 export interface CallOffersContext {
-  readonly boxes: BoxKnowledge;
+  readonly boxes: BoxAvailability;
   readonly settings: EntrySettings;
   readonly loads: UpstreamLoads;
   readonly chooser: UpstreamChooser;
-  readonly books: CallBooks;
+  readonly books: CallRegistry;
   readonly timing: AttemptTiming;
 }
 
@@ -49,7 +49,7 @@
     const quarantined = this.quarantinedFor(now, state);
     if (quarantined > 0) {
       const reason = 'request-quarantined';
-      return this.context.books.finalRefusal(state, reason, quarantined);
+      return this.context.books.refuseCall(state, reason, quarantined);
     }
     const chosen = this.context.chooser.next(now, random, state);
     if (chosen === undefined) {
@@ -75,7 +75,7 @@
     const {pauseMilliseconds} = this.context.settings;
     const milliseconds = this.pauseBefore(state);
     if (pauseMilliseconds === 0 || now + milliseconds > state.heldUntil) {
-      return this.context.books.finalRefusal(state, reason, retryAfter);
+      return this.context.books.refuseCall(state, reason, retryAfter);
     }
     state.pauses += 1;
     return [{kind: 'pause', callId: state.call.id, milliseconds}];
@@ -96,7 +96,7 @@
   ): readonly EntryAction[] {
     state.reroutes = 0;
     state.shortestWait = Number.POSITIVE_INFINITY;
-    setTerms(state, this.context.settings.firstTerms);
+    setTerms(state, this.context.settings.initialTerms);
     return this.next(now, random, state, 'no-upstream');
   }
 
@@ -108,10 +108,10 @@
     const {box, incarnation} = key.home;
     const current = this.context.boxes.incarnation(box);
     if (current !== undefined && current > incarnation) {
-      return this.context.books.homeRefusal(state, 'once-home-replaced');
+      return this.context.books.refuseOnceCall(state, 'once-home-replaced');
     }
     if (!this.context.boxes.isUsable(box)) {
-      return this.context.books.homeRefusal(state, 'once-home-unreachable');
+      return this.context.books.refuseOnceCall(state, 'once-home-unreachable');
     }
     return [this.send(state, `home ${box}`, box, undefined)];
   }
@@ -141,10 +141,10 @@
       call,
       number: paidAttempts + (call.isCallersRetry ? 1 : 0),
       terms,
-      expectedMilliseconds: timing.usual(call.route.name),
+      expectedMilliseconds: timing.typicalDuration(call.route.name),
       overdueMilliseconds: timing.overdueAfter(state),
       startBy: this.startBy(state),
-      silenceMilliseconds: timing.silenceAfter(state),
+      acknowledgementTimeoutMilliseconds: timing.acknowledgementTimeout(state),
     };
   }
 
--- a/packages/brain/src/entry/callBooks.ts
+++ b/packages/brain/src/entry/callRegistry.ts
@@ -9,7 +9,7 @@
 import type {OverdueAttempts} from './overdueAttempts.js';
 
 /** Keeps the open calls and closes them, with a refusal where necessary. */
-export class CallBooks {
+export class CallRegistry {
   private readonly calls = new Map<string, CallState>();
   private readonly shares = new CustomerShares(DEFAULT_ENTRY_CAPACITY);
 
@@ -24,7 +24,7 @@
   }
 
   /** Open calls that match a predicate. */
-  countOf(predicate: (state: CallState) => boolean): number {
+  countMatching(predicate: (state: CallState) => boolean): number {
     let count = 0;
     for (const state of this.calls.values()) {
       count += predicate(state) ? 1 : 0;
@@ -49,14 +49,14 @@
 
   /** The overdue attempt failed: reports the outcome that waited for it. */
   overdueEnded(state: CallState): readonly EntryAction[] {
-    this.overdueAttempts.over(state);
+    this.overdueAttempts.clear(state);
     const {pending} = state;
     if (pending === undefined) {
       return [];
     }
     state.pending = undefined;
     if (pending.kind === 'refuse') {
-      this.ended(state);
+      this.callEnded(state);
     }
     return [pending];
   }
@@ -65,23 +65,31 @@
    * Refuses a once-only call. Its outcome is 'not-run' only if its key was
    * never sent before; otherwise an earlier call may have run.
    */
-  homeRefusal(state: CallState, reason: RefusalReason): readonly EntryAction[] {
+  refuseOnceCall(
+    state: CallState,
+    reason: RefusalReason,
+  ): readonly EntryAction[] {
     const hasNotRun = state.call.isFirstWithKey && !state.mayHaveRun;
-    return this.final(state, reason, hasNotRun ? 'not-run' : 'unknown', 0);
+    return this.closeWithRefusal(
+      state,
+      reason,
+      hasNotRun ? 'not-run' : 'unknown',
+      0,
+    );
   }
 
   /** Refuses a call, with an outcome that tells whether it may have run. */
-  finalRefusal(
+  refuseCall(
     state: CallState,
     reason: RefusalReason,
     retryAfter = 0,
   ): readonly EntryAction[] {
     const outcome = state.mayHaveRun ? 'unknown' : 'not-run';
-    return this.final(state, reason, outcome, retryAfter);
+    return this.closeWithRefusal(state, reason, outcome, retryAfter);
   }
 
   /** Refuses a call; waits for its overdue attempt first if there is one. */
-  final(
+  closeWithRefusal(
     state: CallState,
     reason: RefusalReason,
     outcome: RefusalOutcome,
@@ -89,16 +97,16 @@
   ): readonly EntryAction[] {
     const {id: callId} = state.call;
     // The failed answer of an upstream tells more than a refusal of the entry.
-    const action: EntryAction = state.hasSpareAnswer
-      ? {kind: 'pass-spare-answer', callId}
-      : refuse(callId, reason, outcome, retryAfter);
-    if (state.overdueAt !== undefined) {
+    const action: EntryAction = state.hasFallbackAnswer
+      ? {kind: 'pass-fallback-answer', callId}
+      : refusalAction(callId, reason, outcome, retryAfter);
+    if (state.overdueUpstream !== undefined) {
       this.attemptEnded(state);
       state.pending = action;
       return [];
     }
     if (action.kind === 'refuse') {
-      this.ended(state);
+      this.callEnded(state);
     } else {
       this.attemptEnded(state);
     }
@@ -106,9 +114,9 @@
   }
 
   /** Closes a call and releases its resources. */
-  ended(state: CallState): readonly EntryAction[] {
+  callEnded(state: CallState): readonly EntryAction[] {
     this.attemptEnded(state);
-    this.overdueAttempts.over(state);
+    this.overdueAttempts.clear(state);
     this.calls.delete(state.call.id);
     this.shares.release(state.call.customer, state.call.bytes);
     return [];
@@ -124,7 +132,7 @@
 }
 
 /** Creates the action that refuses a call. */
-export function refuse(
+export function refusalAction(
   callId: string,
   reason: RefusalReason,
   outcome: RefusalOutcome,
--- a/packages/brain/src/entry/callState.ts
+++ b/packages/brain/src/entry/callState.ts
@@ -15,7 +15,7 @@
   /** A guard refused it because no slot was expected in time. */
   isShortOfTime: boolean;
   /** Offers that were not acknowledged. */
-  silences: number;
+  unacknowledgedOffers: number;
   /** Rounds of offers that were refused throughout. */
   pauses: number;
   /** Shortest wait for a slot reported in this round, in milliseconds. */
@@ -25,22 +25,22 @@
   /** The upstream of the latest attempt. */
   upstream: string;
   /** The upstream of an overdue attempt that is still running. */
-  overdueAt: string | undefined;
+  overdueUpstream: string | undefined;
   /** The outcome to report unless the overdue attempt succeeds. */
   pending: EntryAction | undefined;
   /** An earlier attempt may have run. */
   mayHaveRun: boolean;
   /** A failed answer is buffered, to be passed on unless a retry succeeds. */
-  hasSpareAnswer: boolean;
+  hasFallbackAnswer: boolean;
   /** The latest attempt has not ended. */
   isAttempting: boolean;
 }
 
 /** Creates the state of a call that has just arrived. */
-export function arrivedCall(
+export function createCallState(
   now: number,
   call: EntryCall,
-  {firstTerms, heldShare}: EntrySettings,
+  {initialTerms: firstTerms, heldShare}: EntrySettings,
 ): CallState {
   return {
     call,
@@ -48,17 +48,17 @@
     ran: new Set(),
     terms: firstTerms,
     isShortOfTime: false,
-    silences: 0,
+    unacknowledgedOffers: 0,
     pauses: 0,
     shortestWait: Number.POSITIVE_INFINITY,
     heldUntil: now + (call.deadline - now) * heldShare,
     upstream: '',
-    overdueAt: undefined,
+    overdueUpstream: undefined,
     pending: undefined,
     paidAttempts: 1,
     reroutes: 0,
     mayHaveRun: false,
-    hasSpareAnswer: false,
+    hasFallbackAnswer: false,
     isAttempting: false,
   };
 }
@@ -70,7 +70,7 @@
 }
 
 /** Whether a call got no slot on the initial terms or is overdue. */
-export function isHeldUp(state: CallState, firstTerms: OfferTerms): boolean {
-  const {terms, pauses, overdueAt} = state;
+export function isDelayed(state: CallState, firstTerms: OfferTerms): boolean {
+  const {terms, pauses, overdueUpstream: overdueAt} = state;
   return terms !== firstTerms || pauses > 0 || overdueAt !== undefined;
 }
--- a/packages/brain/src/entry/entryBrain.ts
+++ b/packages/brain/src/entry/entryBrain.ts
@@ -4,26 +4,26 @@
 import {UpstreamLoads} from '@lockpin/routing';
 import type {RoutingCandidate} from '@lockpin/routing';
 import type {RandomSource, Refusal} from '@lockpin/types';
-import {AnsweredAttempts} from './answeredAttempts.js';
-import {AttemptNews} from './attemptNews.js';
+import {AnswerHandler} from './answerHandler.js';
+import {AttemptFeedback} from './attemptFeedback.js';
 import {AttemptTiming} from './attemptTiming.js';
-import {CallBooks, refuse} from './callBooks.js';
+import {CallRegistry, refusalAction} from './callRegistry.js';
 import {CallOffers, NO_UPSTREAM_RETRY_MILLISECONDS} from './callOffers.js';
-import {arrivedCall} from './callState.js';
-import {isHeldUp} from './callState.js';
+import {createCallState} from './callState.js';
+import {isDelayed} from './callState.js';
 import type {CallState} from './callState.js';
 import type {
-  BoxKnowledge,
+  BoxAvailability,
   EntryAction,
   EntryCall,
   EntryEvent,
 } from './entryMessages.js';
-import {DEFAULT_ENTRY_SETTINGS, FULL_REFUSALS} from './entrySettings.js';
+import {DEFAULT_ENTRY_SETTINGS, NO_SLOT_REFUSALS} from './entrySettings.js';
 import type {EntrySettings} from './entrySettings.js';
 import {OverdueAttempts} from './overdueAttempts.js';
 import {RetryPolicy} from './retryPolicy.js';
 import {UpstreamChooser} from './upstreamChooser.js';
-import type {ChosenCall} from './upstreamChooser.js';
+import type {RoutingRequest} from './upstreamChooser.js';
 
 /** Retry-after of calls whose customer is over its share. */
 const OVER_SHARE_RETRY_MILLISECONDS = 100;
@@ -32,27 +32,27 @@
 export class EntryBrain {
   readonly loads: UpstreamLoads;
   private readonly retries: RetryPolicy;
-  private readonly calls: CallBooks;
+  private readonly calls: CallRegistry;
   private readonly chooser: UpstreamChooser;
   private readonly offers: CallOffers;
-  private readonly feedback: AttemptNews;
+  private readonly feedback: AttemptFeedback;
   private readonly overdueAttempts: OverdueAttempts;
-  private readonly answers: AnsweredAttempts;
+  private readonly answers: AnswerHandler;
 
   constructor(
     box: string,
     dataCentre: string,
-    boxes: BoxKnowledge,
+    boxes: BoxAvailability,
     private readonly settings: EntrySettings = DEFAULT_ENTRY_SETTINGS,
   ) {
-    const loads = new UpstreamLoads(settings.linkPatience);
+    const loads = new UpstreamLoads(settings.linkAvoidance);
     const retries = new RetryPolicy(settings);
     const timing = new AttemptTiming(settings, retries);
     const environment = {box, dataCentre, boxes, loads};
     const chooser = new UpstreamChooser({...environment, settings});
-    const feedback = new AttemptNews(loads, timing);
+    const feedback = new AttemptFeedback(loads, timing);
     const overdueAttempts = new OverdueAttempts(loads, retries, chooser);
-    const calls = new CallBooks(loads, overdueAttempts);
+    const calls = new CallRegistry(loads, overdueAttempts);
     const dependencies = {
       loads,
       retries,
@@ -61,7 +61,7 @@
       overdueAttempts,
     };
     const offers = new CallOffers({...dependencies, boxes, settings, timing});
-    this.answers = new AnsweredAttempts({
+    this.answers = new AnswerHandler({
       ...dependencies,
       offers,
       news: feedback,
@@ -76,9 +76,9 @@
   }
 
   /** Open calls that got no slot on the initial terms or are overdue. */
-  get heldUpCalls(): number {
-    const {firstTerms} = this.settings;
-    return this.calls.countOf((state) => isHeldUp(state, firstTerms));
+  get delayedCallCount(): number {
+    const {initialTerms: firstTerms} = this.settings;
+    return this.calls.countMatching((state) => isDelayed(state, firstTerms));
   }
 
   /** Open calls. */
@@ -105,7 +105,7 @@
   chooseFor(
     now: number,
     random: RandomSource,
-    call: ChosenCall,
+    call: RoutingRequest,
     tried: ReadonlySet<string> = new Set(),
   ): RoutingCandidate | undefined {
     return this.chooser.choose(now, random, call, tried);
@@ -118,13 +118,13 @@
   ): readonly EntryAction[] {
     if (!this.calls.takeShare(call)) {
       const after = OVER_SHARE_RETRY_MILLISECONDS;
-      return [refuse(call.id, 'customer-over-share', 'not-run', after)];
+      return [refusalAction(call.id, 'customer-over-share', 'not-run', after)];
     }
     this.retries.firstAttempt(now, call);
-    const state = arrivedCall(now, call, this.settings);
+    const state = createCallState(now, call, this.settings);
     this.calls.add(state);
     if (now >= call.deadline) {
-      return this.calls.finalRefusal(state, 'deadline-passed');
+      return this.calls.refuseCall(state, 'deadline-passed');
     }
     return call.onceKey === undefined
       ? this.offers.next(now, random, state, 'no-upstream')
@@ -142,7 +142,7 @@
         return this.answers.answered(now, random, state, event);
       case 'attempt-refused':
         this.calls.attemptEnded(state);
-        this.feedback.refusalHeard(now, state, event);
+        this.feedback.refusalReceived(now, state, event);
         return this.handleRefusal(now, random, state, event.refusal);
       case 'attempt-lost':
         this.calls.attemptEnded(state);
@@ -150,7 +150,7 @@
         return this.handleLostAttempt(now, random, state, event.wasSent);
       case 'pause-ended':
         return this.offers.pauseEnded(now, random, state);
-      case 'attempt-silent':
+      case 'attempt-unacknowledged':
         return this.handleUnacknowledged(now, random, state);
       case 'attempt-overdue':
         return this.answers.overdue(now, random, state);
@@ -158,15 +158,15 @@
         return this.answers.overdueAnswered(now, state, event);
       case 'overdue-ended':
         return this.calls.overdueEnded(state);
-      case 'given-up':
+      case 'call-aborted':
         return this.handleAbort(now, random, state, event);
       case 'caller-left':
         return [
           ...this.overdueAttempts.cancelAll(state),
-          ...this.calls.ended(state),
+          ...this.calls.callEnded(state),
         ];
       case 'answer-ended':
-        return this.calls.ended(state);
+        return this.calls.callEnded(state);
     }
   }
 
@@ -177,7 +177,7 @@
     state: CallState,
   ): readonly EntryAction[] {
     this.calls.attemptEnded(state);
-    state.silences += 1;
+    state.unacknowledgedOffers += 1;
     this.loads.linkFailed(state.upstream, now, random());
     const cancel: EntryAction = {
       kind: 'cancel-attempt',
@@ -203,7 +203,7 @@
   ): readonly EntryAction[] {
     const {reason, outcome, retryAfterMilliseconds} = refusal;
     state.isShortOfTime ||= reason === 'deadline-too-short';
-    if (FULL_REFUSALS.has(reason)) {
+    if (NO_SLOT_REFUSALS.has(reason)) {
       state.shortestWait = Math.min(state.shortestWait, retryAfterMilliseconds);
     }
     if (outcome === 'unknown') {
@@ -211,9 +211,14 @@
       state.ran.add(state.upstream);
     }
     if (state.call.onceKey !== undefined) {
-      return this.calls.final(state, reason, outcome, retryAfterMilliseconds);
+      return this.calls.closeWithRefusal(
+        state,
+        reason,
+        outcome,
+        retryAfterMilliseconds,
+      );
     }
-    if (this.retries.mayGoElsewhere(now, state, refusal)) {
+    if (this.retries.takeRerouteOrRetry(now, state, refusal)) {
       return this.offers.next(
         now,
         random,
@@ -222,9 +227,9 @@
         retryAfterMilliseconds,
       );
     }
-    return this.settings.freeRefusals.has(reason)
+    return this.settings.freeRerouteRefusals.has(reason)
       ? this.offers.pauseOrRefuse(now, state, reason, retryAfterMilliseconds)
-      : this.calls.finalRefusal(state, reason, retryAfterMilliseconds);
+      : this.calls.refuseCall(state, reason, retryAfterMilliseconds);
   }
 
   private handleLostAttempt(
@@ -238,7 +243,7 @@
       state.ran.add(state.upstream);
     }
     if (state.call.onceKey !== undefined) {
-      return this.calls.homeRefusal(
+      return this.calls.refuseOnceCall(
         state,
         wasSent ? 'guard-lost' : 'once-home-unreachable',
       );
@@ -247,18 +252,18 @@
     const isFree = !wasSent && this.retries.takeReroute(state);
     if (
       isFree ||
-      (this.retries.mayRepeat(state) && this.retries.payRetry(now, state))
+      (this.retries.isRepeatable(state) && this.retries.payRetry(now, state))
     ) {
       return this.offers.next(now, random, state, reason);
     }
-    return this.calls.finalRefusal(state, reason);
+    return this.calls.refuseCall(state, reason);
   }
 
   private handleAbort(
     now: number,
     random: RandomSource,
     state: CallState,
-    {reason, wasSent}: EntryEvent & {readonly kind: 'given-up'},
+    {reason, wasSent}: EntryEvent & {readonly kind: 'call-aborted'},
   ): readonly EntryAction[] {
     if (state.isAttempting) {
       this.loads.linkFailed(state.upstream, now, random());
@@ -266,12 +271,12 @@
     }
     const {onceKey} = state.call;
     const cancels = this.overdueAttempts.cancelAll(state);
-    this.overdueAttempts.over(state);
+    this.overdueAttempts.clear(state);
     const after = this.offers.quarantinedFor(now, state);
     const refusal =
       onceKey === undefined
-        ? this.calls.finalRefusal(state, reason, after)
-        : this.calls.homeRefusal(state, reason);
+        ? this.calls.refuseCall(state, reason, after)
+        : this.calls.refuseOnceCall(state, reason);
     return [...cancels, ...refusal];
   }
 }
--- a/packages/brain/src/entry/entryMessages.ts
+++ b/packages/brain/src/entry/entryMessages.ts
@@ -74,7 +74,7 @@
   /** The pause after a round of refused offers has ended. */
   | {readonly kind: 'pause-ended'; readonly callId: string}
   /** The guard neither started nor queued the call within the time allowed. */
-  | {readonly kind: 'attempt-silent'; readonly callId: string}
+  | {readonly kind: 'attempt-unacknowledged'; readonly callId: string}
   /** The attempt exceeded its overdue limit. */
   | {readonly kind: 'attempt-overdue'; readonly callId: string}
   /** The overdue attempt was answered. */
@@ -88,7 +88,7 @@
   /** The overdue attempt ended without an answer. */
   | {readonly kind: 'overdue-ended'; readonly callId: string}
   | {
-      readonly kind: 'given-up';
+      readonly kind: 'call-aborted';
       readonly callId: string;
       /** Deadline passed, node shutting down, or request in quarantine. */
       readonly reason:
@@ -124,7 +124,7 @@
    */
   readonly startBy: number | undefined;
   /** Time in which the guard has to acknowledge the call. */
-  readonly silenceMilliseconds: number;
+  readonly acknowledgementTimeoutMilliseconds: number;
 }
 
 /** An action that the entry requests. */
@@ -137,7 +137,7 @@
     }
   | {readonly kind: 'pass-answer'; readonly callId: string}
   /** Pass the failed answer of an earlier attempt: later ones had none. */
-  | {readonly kind: 'pass-spare-answer'; readonly callId: string}
+  | {readonly kind: 'pass-fallback-answer'; readonly callId: string}
   /** Report 'pause-ended' after this time. */
   | {
       readonly kind: 'pause';
@@ -151,7 +151,7 @@
   | {readonly kind: 'cancel-overdue'; readonly callId: string};
 
 /** The state of the boxes as far as the entry needs it. */
-export interface BoxKnowledge {
+export interface BoxAvailability {
   /** Whether the lockpin process of a box is believed to be alive. */
   readonly isUsable: (box: string) => boolean;
   /** Incarnation of the current process of a box; undefined when unknown. */
--- a/packages/brain/src/entry/entrySettings.ts
+++ b/packages/brain/src/entry/entrySettings.ts
@@ -2,14 +2,14 @@
 /** How an entry offers calls to upstreams. */
 
 import {
-  DEFAULT_LINK_PATIENCE,
+  DEFAULT_LINK_AVOIDANCE,
   DEFAULT_SUBSET_SIZES,
   RetryBudget,
   chooseUpstream,
 } from '@lockpin/routing';
 import type {
   ChooseUpstream,
-  LinkPatience,
+  LinkAvoidanceSettings,
   RetryAllowance,
   SubsetSizes,
 } from '@lockpin/routing';
@@ -21,30 +21,30 @@
   readonly choose: ChooseUpstream;
   /** How many upstreams of each service an entry calls. */
   readonly subsetSizes: SubsetSizes;
-  readonly linkPatience: LinkPatience;
+  readonly linkAvoidance: LinkAvoidanceSettings;
   /** Creates the retry budget of one service. */
-  readonly createBudget: () => RetryAllowance;
+  readonly createRetryBudget: () => RetryAllowance;
   /** Terms of the first offers of a call. */
-  readonly firstTerms: OfferTerms;
+  readonly initialTerms: OfferTerms;
   /** Refused offers after which a call is offered on easier terms. */
-  readonly offersOnEachTerms: number;
+  readonly offersPerTerms: number;
   /**
    * Time in which a guard has to acknowledge an offer: a round trip and one
    * turn of its event loop, with a margin for a slow box.
    */
-  readonly silenceMilliseconds: number;
+  readonly acknowledgementTimeoutMilliseconds: number;
   /** First pause after a round of refused offers; 0 to refuse at once. */
   readonly pauseMilliseconds: number;
   /** Share of the time to its deadline for which a call waits for a slot. */
   readonly heldShare: number;
   /** Free reroutes of a call in each round of offers. */
-  readonly mostReroutes: number;
+  readonly maximumReroutes: number;
   /** Refusals after which a reroute costs no retry budget. */
-  readonly freeRefusals: ReadonlySet<RefusalReason>;
+  readonly freeRerouteRefusals: ReadonlySet<RefusalReason>;
   /** Remaining quarantine of a request in milliseconds; 0 if it may run. */
   readonly quarantinedFor: (now: number, requestDigest: string) => number;
   /** Whether overdue repeatable calls are hedged with a second attempt. */
-  readonly replacesOverdue: boolean;
+  readonly hedgesOverdue: boolean;
   /** Whether a call that cannot be answered in time is offered all the same. */
   readonly offersLate: boolean;
 }
@@ -61,29 +61,29 @@
 export const DEFAULT_ENTRY_SETTINGS: EntrySettings = {
   choose: chooseUpstream,
   subsetSizes: DEFAULT_SUBSET_SIZES,
-  linkPatience: DEFAULT_LINK_PATIENCE,
-  createBudget: () => new RetryBudget(),
-  firstTerms: 'last-resort',
-  offersOnEachTerms: Number.POSITIVE_INFINITY,
-  silenceMilliseconds: 100,
+  linkAvoidance: DEFAULT_LINK_AVOIDANCE,
+  createRetryBudget: () => new RetryBudget(),
+  initialTerms: 'last-resort',
+  offersPerTerms: Number.POSITIVE_INFINITY,
+  acknowledgementTimeoutMilliseconds: 100,
   pauseMilliseconds: 0,
   heldShare: 0,
-  mostReroutes: 3,
-  freeRefusals: new Set(UPSTREAM_STATE_REFUSALS),
+  maximumReroutes: 3,
+  freeRerouteRefusals: new Set(UPSTREAM_STATE_REFUSALS),
   quarantinedFor: () => 0,
-  replacesOverdue: false,
+  hedgesOverdue: false,
   offersLate: true,
 };
 
 /** Refusals of upstreams that have no free slot. */
-export const FULL_REFUSALS: ReadonlySet<RefusalReason> = new Set([
+export const NO_SLOT_REFUSALS: ReadonlySet<RefusalReason> = new Set([
   'upstream-busy',
   'queue-full',
   'deadline-too-short',
 ]);
 
 /** Refusals that every other upstream would repeat. */
-export const LASTING_REFUSALS: ReadonlySet<RefusalReason> = new Set([
+export const NON_RETRYABLE_REFUSALS: ReadonlySet<RefusalReason> = new Set([
   'deadline-passed',
   'request-quarantined',
   'retries-exhausted',
--- a/packages/brain/src/entry/overdueAttempts.ts
+++ b/packages/brain/src/entry/overdueAttempts.ts
@@ -22,16 +22,20 @@
    * it from the retry budget. The overdue attempt continues: its upstream may
    * be about to answer, and cancelling it would waste the work done.
    */
-  offerElsewhere(
+  startHedge(
     now: number,
     random: RandomSource,
     state: CallState,
   ): RoutingCandidate | undefined {
-    const hasOverdue = state.overdueAt !== undefined;
-    if (!state.isAttempting || hasOverdue || !this.retries.mayRepeat(state)) {
+    const hasOverdue = state.overdueUpstream !== undefined;
+    if (
+      !state.isAttempting ||
+      hasOverdue ||
+      !this.retries.isRepeatable(state)
+    ) {
       return undefined;
     }
-    if (!this.retries.mayPay(state, 1)) {
+    if (!this.retries.hasAttemptsLeft(state, 1)) {
       return undefined;
     }
     const excluded = new Set([...state.ran, state.upstream]);
@@ -41,24 +45,24 @@
     }
     state.mayHaveRun = true;
     state.ran.add(state.upstream);
-    state.overdueAt = state.upstream;
+    state.overdueUpstream = state.upstream;
     state.isAttempting = false;
     setTerms(state, 'may-wait');
     return candidate;
   }
 
   /** Stops counting the overdue attempt: it has ended or is cancelled. */
-  over(state: CallState): void {
-    if (state.overdueAt !== undefined) {
-      this.loads.ended(state.overdueAt);
-      state.overdueAt = undefined;
+  clear(state: CallState): void {
+    if (state.overdueUpstream !== undefined) {
+      this.loads.ended(state.overdueUpstream);
+      state.overdueUpstream = undefined;
     }
   }
 
   /** Cancels all running attempts of a call. */
   cancelAll(state: CallState): readonly EntryAction[] {
     const callId = state.call.id;
-    return state.overdueAt === undefined
+    return state.overdueUpstream === undefined
       ? [{kind: 'cancel-attempt', callId}]
       : [
           {kind: 'cancel-attempt', callId},
--- a/packages/brain/src/entry/retryPolicy.ts
+++ b/packages/brain/src/entry/retryPolicy.ts
@@ -4,7 +4,7 @@
 import type {RetryAllowance} from '@lockpin/routing';
 import type {Refusal} from '@lockpin/types';
 import type {EntryCall} from './entryMessages.js';
-import {LASTING_REFUSALS} from './entrySettings.js';
+import {NON_RETRYABLE_REFUSALS} from './entrySettings.js';
 import type {EntrySettings} from './entrySettings.js';
 
 /** Most paid attempts of a call; also its runs if the route sets no maximum. */
@@ -35,23 +35,30 @@
   }
 
   /** Takes a free reroute or a retry for a refused call; false if neither. */
-  mayGoElsewhere(now: number, state: RetryState, refusal: Refusal): boolean {
+  takeRerouteOrRetry(
+    now: number,
+    state: RetryState,
+    refusal: Refusal,
+  ): boolean {
     const {reason, outcome} = refusal;
     if (!state.call.isReplayable) {
       return false;
     }
-    if (this.settings.freeRefusals.has(reason) && outcome === 'not-run') {
+    if (
+      this.settings.freeRerouteRefusals.has(reason) &&
+      outcome === 'not-run'
+    ) {
       return this.takeReroute(state);
     }
     return (
-      !LASTING_REFUSALS.has(reason) &&
-      (outcome === 'not-run' || this.mayRepeat(state)) &&
+      !NON_RETRYABLE_REFUSALS.has(reason) &&
+      (outcome === 'not-run' || this.isRepeatable(state)) &&
       this.payRetry(now, state)
     );
   }
 
   /** Whether a call may run more than once. */
-  mayRepeat({call}: RetryState): boolean {
+  isRepeatable({call}: RetryState): boolean {
     return call.isReplayable && call.route.spec.repetition === 'repeatable';
   }
 
@@ -65,7 +72,7 @@
   }
 
   /** Whether a call may have a further paid attempt beside those running. */
-  mayPay({call, ran, paidAttempts}: RetryState, running = 0): boolean {
+  hasAttemptsLeft({call, ran, paidAttempts}: RetryState, running = 0): boolean {
     const maximumRuns = call.route.spec.mostAttempts ?? MAXIMUM_PAID_ATTEMPTS;
     return (
       paidAttempts < MAXIMUM_PAID_ATTEMPTS &&
@@ -76,7 +83,10 @@
 
   /** Takes a retry from the service's budget; false if not allowed. */
   payRetry(now: number, state: RetryState): boolean {
-    if (!this.mayPay(state) || !this.budget(state.call).takeRetry(now)) {
+    if (
+      !this.hasAttemptsLeft(state) ||
+      !this.budget(state.call).takeRetry(now)
+    ) {
       return false;
     }
     state.paidAttempts += 1;
@@ -84,7 +94,7 @@
   }
 
   private isRerouteLimitReached({reroutes}: RetryState): boolean {
-    return reroutes >= this.settings.mostReroutes;
+    return reroutes >= this.settings.maximumReroutes;
   }
 
   private budget(call: EntryCall): RetryAllowance {
@@ -92,7 +102,7 @@
     if (existing !== undefined) {
       return existing;
     }
-    const created = this.settings.createBudget();
+    const created = this.settings.createRetryBudget();
     this.budgets.set(call.view.name, created);
     return created;
   }
--- a/packages/brain/src/entry/upstreamChooser.ts
+++ b/packages/brain/src/entry/upstreamChooser.ts
@@ -5,7 +5,7 @@
 import type {RandomSource} from '@lockpin/types';
 import {setTerms} from './callState.js';
 import type {CallState} from './callState.js';
-import type {BoxKnowledge, EntryCall, OfferTerms} from './entryMessages.js';
+import type {BoxAvailability, EntryCall, OfferTerms} from './entryMessages.js';
 import type {EntrySettings} from './entrySettings.js';
 import {SubsetCache} from './subsetCache.js';
 
@@ -13,13 +13,13 @@
 export interface ChooserContext {
   readonly box: string;
   readonly dataCentre: string;
-  readonly boxes: BoxKnowledge;
+  readonly boxes: BoxAvailability;
   readonly loads: UpstreamLoads;
   readonly settings: EntrySettings;
 }
 
 /** The part of a call that routing needs; keys are issued without a route. */
-export type ChosenCall = Pick<EntryCall, 'view'> &
+export type RoutingRequest = Pick<EntryCall, 'view'> &
   Partial<Pick<EntryCall, 'route'>>;
 
 /** Chooses from the subset of upstreams that this entry calls. */
@@ -35,7 +35,7 @@
   choose(
     now: number,
     random: RandomSource,
-    call: ChosenCall,
+    call: RoutingRequest,
     excluded: ReadonlySet<string>,
   ): RoutingCandidate | undefined {
     const candidates = this.candidates(call, excluded);
@@ -48,7 +48,7 @@
     random: RandomSource,
     state: CallState,
   ): RoutingCandidate | undefined {
-    const {offersOnEachTerms} = this.context.settings;
+    const {offersPerTerms: offersOnEachTerms} = this.context.settings;
     const found =
       state.tried.size < offersOnEachTerms
         ? this.untried(now, random, state)
@@ -134,7 +134,7 @@
   }
 
   private candidates(
-    {view}: ChosenCall,
+    {view}: RoutingRequest,
     excluded: ReadonlySet<string>,
   ): readonly RoutingCandidate[] {
     const {boxes} = this.context;
--- a/packages/brain/src/guard/callCourse.ts
+++ b/packages/brain/src/guard/callCourse.ts
@@ -1,7 +1,7 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
 /** Lifecycle of the calls that a guard has accepted. */
 
-import type {Freed} from '@lockpin/admission';
+import type {DispatchResult} from '@lockpin/admission';
 import type {RefusalReason} from '@lockpin/types';
 import type {GuardAction, GuardCall, GuardSettings} from './guardMessages.js';
 import type {GuardedServices} from './guardedServices.js';
@@ -135,7 +135,7 @@
   }
 
   /** Starts the calls that got freed slots, and refuses the expired ones. */
-  freed(now: number, freed: Freed): readonly GuardAction[] {
+  freed(now: number, freed: DispatchResult): readonly GuardAction[] {
     const expired = freed.expired.flatMap(({id}) =>
       this.refuseWaiting(now, id, 'deadline-too-short'),
     );
--- a/packages/brain/src/guard/upstreamGuard.ts
+++ b/packages/brain/src/guard/upstreamGuard.ts
@@ -2,7 +2,11 @@
 /** Guard of one upstream: admission, doubt and ejection. */
 
 import {Admission} from '@lockpin/admission';
-import type {Freed, Offer, WaitingCall} from '@lockpin/admission';
+import type {
+  DispatchResult,
+  AdmissionDecision,
+  WaitingCall,
+} from '@lockpin/admission';
 import type {CallEvidenceKind} from '@lockpin/detection';
 import type {Fence, GuardReport} from '@lockpin/floor';
 import {CrashWatch} from '@lockpin/quarantine';
@@ -37,7 +41,7 @@
 
 /** Consequences of the end of a call. */
 export interface CallEnd {
-  readonly freed: Freed;
+  readonly freed: DispatchResult;
   readonly change: StandingChange | undefined;
 }
 
@@ -149,7 +153,7 @@
     );
   }
 
-  offer(now: number, call: GuardCall): Offer {
+  offer(now: number, call: GuardCall): AdmissionDecision {
     const offer = this.admission.offer(
       now,
       waitingCall(call, this.usualDuration(now, call)),
@@ -177,7 +181,7 @@
   }
 
   /** Releases the slot of a call without counting its outcome. */
-  release(now: number, callId: string): Freed {
+  release(now: number, callId: string): DispatchResult {
     this.doubt.forget(callId);
     this.running.delete(callId);
     return this.admission.finish(now, callId, undefined);
@@ -188,7 +192,7 @@
     now: number,
     callId: string,
     reason: 'upstream-refused' | 'upstream-replaced',
-  ): Freed {
+  ): DispatchResult {
     this.isReplaced ||= reason === 'upstream-replaced';
     this.observe(now, callId, 'refused');
     return this.release(now, callId);
@@ -263,12 +267,12 @@
   }
 
   review(now: number): {
-    readonly freed: Freed;
+    readonly freed: DispatchResult;
     readonly changes: readonly StandingChange[];
   } {
     this.doubt.review(now, this.running.keys());
     const changes = this.standing.review(now, this.running.values());
-    return {freed: this.admission.review(now), changes};
+    return {freed: this.admission.expireAndStart(now), changes};
   }
 
   /** The report to the permit holder. */
@@ -325,7 +329,7 @@
     }
     const change = this.standing.ended(now, running, failed);
     if (change?.change === 'returned') {
-      this.admission.cool();
+      this.admission.resetToCold();
     }
     // The duration of a failed call is no measure of how long slots are held.
     const milliseconds = failed ? undefined : now - running.startedAt;
--- a/packages/brain/src/guard/usualDurations.ts
+++ b/packages/brain/src/guard/usualDurations.ts
@@ -22,7 +22,7 @@
     {route, expectedMilliseconds}: GuardCall,
     isCold: boolean,
   ): number | undefined {
-    const usual = this.durations.of(route) ?? expectedMilliseconds;
+    const usual = this.durations.median(route) ?? expectedMilliseconds;
     return usual && usual * (isCold ? COLD_FACTOR : 1);
   }
 }
--- a/packages/node/src/process/fleetBrains.ts
+++ b/packages/node/src/process/fleetBrains.ts
@@ -78,7 +78,7 @@
           retries: () => settings().retries,
           upstreams: () => fleet.directory.countOf(service),
         }),
-      heldUpCalls: () => entry.heldUpCalls,
+      heldUpCalls: () => entry.delayedCallCount,
       quarantinedFor,
     }),
   );
--- a/packages/node/src/process/fleetEntrySettings.ts
+++ b/packages/node/src/process/fleetEntrySettings.ts
@@ -4,7 +4,7 @@
 import {UNSENT_REFUSALS} from '@lockpin/brain';
 import type {EntrySettings} from '@lockpin/brain';
 import {
-  PAID_ELSEWHERE,
+  UNLIMITED_RETRIES,
   chooseByScore,
   chooseByScoreWith,
 } from '@lockpin/routing';
@@ -65,17 +65,17 @@
       ? chooseByScore
       : chooseByScoreWith({otherDataCentre: 0}),
     subsetSizes: SUBSET_SIZES,
-    linkPatience: LINK_AVOIDANCE,
-    createBudget: () => PAID_ELSEWHERE,
-    firstTerms: 'immediate',
-    offersOnEachTerms: OFFERS_PER_TERMS,
-    silenceMilliseconds: ACKNOWLEDGEMENT_TIMEOUT_MILLISECONDS,
+    linkAvoidance: LINK_AVOIDANCE,
+    createRetryBudget: () => UNLIMITED_RETRIES,
+    initialTerms: 'immediate',
+    offersPerTerms: OFFERS_PER_TERMS,
+    acknowledgementTimeoutMilliseconds: ACKNOWLEDGEMENT_TIMEOUT_MILLISECONDS,
     pauseMilliseconds: isOn('holding') ? PAUSE_MILLISECONDS : 0,
     heldShare: HELD_SHARE,
-    mostReroutes: MAXIMUM_REROUTES,
-    freeRefusals: UNSENT_REFUSALS,
+    maximumReroutes: MAXIMUM_REROUTES,
+    freeRerouteRefusals: UNSENT_REFUSALS,
     quarantinedFor: fleet.quarantinedFor,
-    replacesOverdue: isOn('overdue-replacement'),
+    hedgesOverdue: isOn('overdue-replacement'),
     offersLate: isOn('late-offers'),
   };
 }
--- a/packages/node/src/process/fleetHost.ts
+++ b/packages/node/src/process/fleetHost.ts
@@ -275,7 +275,7 @@
 
   /** Handles a load hint from the guard of an upstream. */
   standingHeard(upstream: string, hint: LoadHint): void {
-    this.entry.loads.heard(upstream, this.environment.clock(), hint);
+    this.entry.loads.hintReceived(upstream, this.environment.clock(), hint);
   }
 
   private handle(event: FleetEvent): readonly FleetAction[] {
--- a/packages/node/src/request/attemptCourse.ts
+++ b/packages/node/src/request/attemptCourse.ts
@@ -124,7 +124,11 @@
 
   private setAttemptTimers(
     exchange: CallerExchange,
-    {box, overdueMilliseconds, silenceMilliseconds}: Attempt,
+    {
+      box,
+      overdueMilliseconds,
+      acknowledgementTimeoutMilliseconds: silenceMilliseconds,
+    }: Attempt,
     needsGo: boolean,
   ): void {
     const {onSilence} = this.dependencies;
@@ -134,7 +138,7 @@
       exchange.silenceTimer = setTimeout(() => {
         this.noteEnd(exchange, 'guard-silent');
         onSilence?.(box);
-        this.dependencies.tell({kind: 'attempt-silent', callId});
+        this.dependencies.tell({kind: 'attempt-unacknowledged', callId});
       }, silenceMilliseconds);
     }
     exchange.overdueMilliseconds = overdueMilliseconds;
--- a/packages/node/src/request/entryService.ts
+++ b/packages/node/src/request/entryService.ts
@@ -20,7 +20,7 @@
 
 export type {EntryServiceDependencies} from './entryServiceDependencies.js';
 
-type GivenUpEvent = EntryEvent & {readonly kind: 'given-up'};
+type GivenUpEvent = EntryEvent & {readonly kind: 'call-aborted'};
 
 /** Serves callers' calls, each until its answer or refusal. */
 export class EntryService {
@@ -178,7 +178,7 @@
   ): void {
     const wasSent = exchange.mayHaveBegun;
     this.attempts.noteEnd(exchange, reason);
-    this.handle({kind: 'given-up', callId: exchange.id, reason, wasSent});
+    this.handle({kind: 'call-aborted', callId: exchange.id, reason, wasSent});
   }
 
   private handle(event: EntryEvent): void {
@@ -205,7 +205,7 @@
       case 'pass-answer':
         this.passAnswer(exchange);
         break;
-      case 'pass-spare-answer':
+      case 'pass-fallback-answer':
         this.attempts.cancel(exchange);
         exchange.heldAnswer = exchange.spareAnswer;
         this.passAnswer(exchange);
--- a/packages/routing/src/__tests__/fleetRouting.test.ts
+++ b/packages/routing/src/__tests__/fleetRouting.test.ts
@@ -42,7 +42,11 @@
 
   it('leaves the data centre when its upstreams are full', () => {
     const loads = new UpstreamLoads();
-    loads.heard('near', NOW, {state: 'accepting', occupied: 4, limit: 4});
+    loads.hintReceived('near', NOW, {
+      state: 'accepting',
+      occupied: 4,
+      limit: 4,
+    });
     const far = candidate('far', {dataCentre: 'd2'});
     expect(chooseByScore(context({loads}), [candidate('near'), far])).toBe(far);
   });
@@ -58,9 +62,13 @@
   it('does not assume that an upstream without hints is idle', () => {
     const loads = new UpstreamLoads();
     ['n1', 'n2', 'n3'].forEach((name) =>
-      loads.heard(name, NOW, {state: 'accepting', occupied: 4, limit: 4}),
+      loads.hintReceived(name, NOW, {
+        state: 'accepting',
+        occupied: 4,
+        limit: 4,
+      }),
     );
-    loads.heard('n4', NOW, {state: 'accepting', occupied: 2, limit: 4});
+    loads.hintReceived('n4', NOW, {state: 'accepting', occupied: 2, limit: 4});
     const all = ['unknown', 'n1', 'n2', 'n3', 'n4'].map((n) => candidate(n));
     expect(chooseByScore(context({loads}), all)?.name).toBe('n4');
     const later = context({loads, now: NOW + 60_000});
@@ -86,7 +94,7 @@
 describe('UpstreamLoads', () => {
   it('avoids a doubted upstream for the time given, and for less in probes', () => {
     const loads = new UpstreamLoads();
-    loads.heard('u', NOW, {
+    loads.hintReceived('u', NOW, {
       state: 'doubted',
       occupied: 0,
       limit: 4,
@@ -154,7 +162,7 @@
     for (let i = 0; i < 400; i += 1) {
       durations.add('kind', i % 10 === 0 ? 5000 : 80 + (i % 5) * 10);
     }
-    const typical = durations.of('kind') ?? 0;
+    const typical = durations.median('kind') ?? 0;
     expect(typical).toBeGreaterThan(75);
     expect(typical).toBeLessThan(140);
   });
@@ -162,6 +170,6 @@
   it('is undefined until there are enough samples', () => {
     const durations = new TypicalDurations();
     durations.add('kind', 10);
-    expect(durations.of('kind')).toBeUndefined();
+    expect(durations.median('kind')).toBeUndefined();
   });
 });
--- a/packages/routing/src/chooseByScore.ts
+++ b/packages/routing/src/chooseByScore.ts
@@ -98,7 +98,7 @@
   return new Map(
     [...names].map(([dataCentre, upstreams]) => [
       dataCentre,
-      loads.usualOccupation(upstreams, now),
+      loads.meanOccupation(upstreams, now),
     ]),
   );
 }
--- a/packages/routing/src/retryBudget.ts
+++ b/packages/routing/src/retryBudget.ts
@@ -58,7 +58,7 @@
 }
 
 /** No limit at the entry, for fleets whose guards keep the retry budgets. */
-export const PAID_ELSEWHERE: RetryAllowance = {
+export const UNLIMITED_RETRIES: RetryAllowance = {
   firstAttempt: () => undefined,
   repeatArrived: () => undefined,
   hasRetry: () => true,
--- a/packages/routing/src/typicalDurations.ts
+++ b/packages/routing/src/typicalDurations.ts
@@ -30,7 +30,7 @@
   }
 
   /** The median in milliseconds; undefined until there are enough samples. */
-  of(kind: string): number | undefined {
+  median(kind: string): number | undefined {
     const estimate = this.estimates.get(kind);
     return estimate !== undefined && estimate.samples >= MINIMUM_SAMPLES
       ? estimate.median
--- a/packages/routing/src/upstreamLoads.ts
+++ b/packages/routing/src/upstreamLoads.ts
@@ -44,7 +44,7 @@
 const REFUSED_PAUSE_MILLISECONDS = 500;
 
 /** When, and how long, an entry avoids a guard that it cannot reach. */
-export interface LinkPatience {
+export interface LinkAvoidanceSettings {
   /** Consecutive failures after which the guard is avoided. */
   readonly failuresToAvoid: number;
   readonly firstAvoidanceMilliseconds: number;
@@ -52,7 +52,7 @@
 }
 
 /** A single failure is no proof when calls wait long for their answers. */
-export const DEFAULT_LINK_PATIENCE: LinkPatience = {
+export const DEFAULT_LINK_AVOIDANCE: LinkAvoidanceSettings = {
   failuresToAvoid: 2,
   firstAvoidanceMilliseconds: 1000,
   longestAvoidanceMilliseconds: 30_000,
@@ -77,7 +77,7 @@
 export class UpstreamLoads {
   private readonly loads = new Map<string, UpstreamLoad>();
 
-  constructor(private readonly avoidance = DEFAULT_LINK_PATIENCE) {}
+  constructor(private readonly avoidance = DEFAULT_LINK_AVOIDANCE) {}
 
   /** Counts a call sent to an upstream. */
   sent(upstream: string): void {
@@ -91,7 +91,7 @@
   }
 
   /** Records a hint; the guard responded, so the link to it works. */
-  heard(upstream: string, now: number, hint: LoadHint): void {
+  hintReceived(upstream: string, now: number, hint: LoadHint): void {
     const load = this.load(upstream);
     load.hint = hint;
     load.hintedAt = now;
@@ -109,7 +109,7 @@
    * The guard has no such upstream: its box has lost it, or has not received it
    * yet after a restart. It is tried again after exponentially growing pauses.
    */
-  isMissing(upstream: string, now: number): void {
+  reportedMissing(upstream: string, now: number): void {
     const load = this.load(upstream);
     const pause = Math.min(
       LONGEST_MISSING_MILLISECONDS,
@@ -191,7 +191,7 @@
   }
 
   /** Mean occupation of some upstreams, weighted by the age of their hints. */
-  usualOccupation(upstreams: readonly string[], now: number): number {
+  meanOccupation(upstreams: readonly string[], now: number): number {
     let sum = 0;
     let weights = 0;
     for (const upstream of upstreams) {
--- a/packages/tools/src/measure/serviceRun.ts
+++ b/packages/tools/src/measure/serviceRun.ts
@@ -144,7 +144,7 @@
     });
     this.clock.later(TRAFFIC.waitMilliseconds, () =>
       this.tellEntry(id, {
-        kind: 'given-up',
+        kind: 'call-aborted',
         callId: id,
         reason: 'deadline-passed',
         wasSent: true,
@@ -168,7 +168,7 @@
         this.entryOfCall.delete(callId);
         this.answers.refused(callId);
         break;
-      case 'pass-spare-answer':
+      case 'pass-fallback-answer':
         this.failures += 1;
         this.entryOfCall.delete(callId);
         this.answers.refused(callId);
