--- a/packages/brain/src/__tests__/crashedUpstreams.test.ts
+++ b/packages/brain/src/__tests__/crashedUpstreams.test.ts
@@ -98,19 +98,22 @@
     return harness.tell({kind: 'upstream-failed', callId: '1', wasSent: true});
   }
 
-  function finishCheck(harness: GuardWorld, addressState: 'there' | 'gone') {
+  function finishCheck(
+    harness: GuardWorld,
+    addressState: 'listening' | 'gone',
+  ) {
     return harness.tell({
-      kind: 'upstream-looked-at',
+      kind: 'upstream-checked',
       upstream: UPSTREAM,
       incarnation: {id: 'i-1', startedAt: 0},
-      presence: addressState,
+      addressState,
     });
   }
 
   it('is checked when a call breaks, and reports what ran if it is gone', () => {
     const harness = new GuardWorld();
     expect(breakCall(harness)).toContainEqual(
-      expect.objectContaining({kind: 'look-at-upstream'}),
+      expect.objectContaining({kind: 'check-upstream'}),
     );
     expect(finishCheck(harness, 'gone')).toEqual([
       {kind: 'upstream-crashed', upstream: UPSTREAM, digests: ['digest']},
@@ -120,7 +123,7 @@
   it('is not reported as crashed while its address is listening', () => {
     const harness = new GuardWorld();
     breakCall(harness);
-    expect(finishCheck(harness, 'there')).toEqual([]);
+    expect(finishCheck(harness, 'listening')).toEqual([]);
   });
 
   it('is not checked when a call breaks while it drains', () => {
@@ -132,7 +135,7 @@
       callId: '1',
       wasSent: true,
     });
-    expect(actions.map(({kind}) => kind)).not.toContain('look-at-upstream');
+    expect(actions.map(({kind}) => kind)).not.toContain('check-upstream');
   });
 });
 
--- a/packages/brain/src/__tests__/probation.test.ts
+++ b/packages/brain/src/__tests__/probation.test.ts
@@ -14,7 +14,7 @@
   reasonOf,
 } from './__fixtures__/guardWorld.js';
 
-const {firstHold: initialHoldMilliseconds} = DETECTION_SETTINGS.fast;
+const {initialHoldMilliseconds} = DETECTION_SETTINGS.fast;
 const FAILED_CALLS = 60;
 const STEP_MILLISECONDS = 20;
 const BASELINE: PeerBaseline = {
--- a/packages/brain/src/control/holderRole.ts
+++ b/packages/brain/src/control/holderRole.ts
@@ -4,7 +4,12 @@
 import type {ConfigurationState, ServiceView} from '@lockpin/configuration';
 import {DETECTION_SETTINGS} from '@lockpin/detection';
 import {HolderTable, NO_FENCE, PermitHolder} from '@lockpin/floor';
-import type {Fence, GuardReport, HolderReply, HolderView} from '@lockpin/floor';
+import type {
+  Fence,
+  GuardReport,
+  HolderReply,
+  HolderSettings,
+} from '@lockpin/floor';
 import {isUsable} from '@lockpin/membership';
 import type {Member, Membership} from '@lockpin/membership';
 import type {Era, StreamPosition} from '@lockpin/types';
@@ -102,7 +107,7 @@
     if (holder === undefined || view === undefined) {
       return undefined;
     }
-    holder.setView(holderView(view));
+    holder.configure(holderView(view));
     return reports.map((report) => holder.report(now, report));
   }
 
@@ -161,13 +166,13 @@
   }
 }
 
-const EMPTY_VIEW: HolderView = {
+const EMPTY_VIEW: HolderSettings = {
   floorSlots: Number.POSITIVE_INFINITY,
   settleMilliseconds: 0,
   upstreams: [],
 };
 
-function holderView(view: ServiceView): HolderView {
+function holderView(view: ServiceView): HolderSettings {
   const {floorSlots, sensitivity} = view.service.spec;
   return {
     floorSlots,
--- a/packages/brain/src/guard/callEnds.ts
+++ b/packages/brain/src/guard/callEndHandler.ts
@@ -2,18 +2,18 @@
 /** Handles the ends of calls and passes their slots on to waiting calls. */
 
 import type {RefusalReason} from '@lockpin/types';
-import type {CallCourse} from './callCourse.js';
+import type {CallLifecycle} from './callLifecycle.js';
 import type {GuardAction, GuardEvent} from './guardMessages.js';
 import type {GuardedServices} from './guardedServices.js';
 import {refuse} from './guardRefusals.js';
-import type {UpstreamEnds} from './upstreamEnds.js';
+import type {UpstreamExitHandler} from './upstreamExitHandler.js';
 
 /** Reports how calls ended; events for unknown calls are ignored. */
-export class CallEnds {
+export class CallEndHandler {
   constructor(
     private readonly services: GuardedServices,
-    private readonly lifecycle: CallCourse,
-    private readonly exitHandler: UpstreamEnds,
+    private readonly lifecycle: CallLifecycle,
+    private readonly exitHandler: UpstreamExitHandler,
   ) {}
 
   /** Handles an answer from the upstream. */
@@ -22,7 +22,7 @@
     event: GuardEvent & {readonly kind: 'upstream-answered'},
   ): readonly GuardAction[] {
     const {callId, status, isShed, answer} = event;
-    const known = this.lifecycle.take(callId);
+    const known = this.lifecycle.remove(callId);
     if (known === undefined) {
       return [];
     }
@@ -35,7 +35,7 @@
     }
     const wasDoubted = upstream.isDoubted(now);
     const end = upstream.answered(now, callId, status, isShed);
-    return this.lifecycle.ended(now, upstream, end, wasDoubted);
+    return this.lifecycle.callEnded(now, upstream, end, wasDoubted);
   }
 
   /** Handles an exchange that broke or could not be started. */
@@ -44,18 +44,18 @@
     callId: string,
     wasSent: boolean,
   ): readonly GuardAction[] {
-    const known = this.lifecycle.take(callId);
+    const known = this.lifecycle.remove(callId);
     if (known === undefined) {
       return [];
     }
     const {call, upstream} = known;
     const wasDoubted = upstream.isDoubted(now);
     const end = upstream.failed(now, callId, true);
-    const after = this.lifecycle.ended(now, upstream, end, wasDoubted);
+    const after = this.lifecycle.callEnded(now, upstream, end, wasDoubted);
     if (!wasSent) {
       const reason = 'upstream-unreachable';
       return [
-        this.lifecycle.refuseForGood(now, call, upstream, reason),
+        this.lifecycle.refusePermanently(now, call, upstream, reason),
         ...after,
       ];
     }
@@ -63,7 +63,7 @@
     return [
       refuse(now, call, 'upstream-failed', 'unknown', upstream),
       ...after,
-      ...this.exitHandler.broke(now, upstream, call.requestDigest),
+      ...this.exitHandler.callBroke(now, upstream, call.requestDigest),
     ];
   }
 
@@ -73,7 +73,7 @@
     callId: string,
     reason: 'upstream-refused' | 'upstream-replaced',
   ): readonly GuardAction[] {
-    const known = this.lifecycle.take(callId);
+    const known = this.lifecycle.remove(callId);
     if (known === undefined) {
       return [];
     }
@@ -81,14 +81,14 @@
     const wasDoubted = upstream.isDoubted(now);
     const freed = upstream.refused(now, callId, reason);
     return [
-      this.lifecycle.refuseForGood(now, call, upstream, reason),
+      this.lifecycle.refusePermanently(now, call, upstream, reason),
       ...this.lifecycle.doubtChanged(now, upstream, wasDoubted),
-      ...this.lifecycle.freed(now, freed),
+      ...this.lifecycle.slotsFreed(now, freed),
     ];
   }
 
   /** Ends a call that the entry cancelled or whose deadline passed. */
-  givenUp(
+  abandoned(
     now: number,
     callId: string,
     reason: RefusalReason,
@@ -108,7 +108,7 @@
       // The call continues, so that a repeat of its key gets the outcome.
       return [];
     }
-    this.lifecycle.take(callId);
+    this.lifecycle.remove(callId);
     this.services.ledgerOf(call)?.broke(call.onceKey ?? '');
     const isFault =
       reason === 'deadline-passed' && upstream.isOverdue(now, callId);
@@ -117,7 +117,7 @@
     return [
       {kind: 'abort', callId},
       refuse(now, call, reason, 'unknown', upstream),
-      ...this.lifecycle.ended(now, upstream, end, wasDoubted),
+      ...this.lifecycle.callEnded(now, upstream, end, wasDoubted),
     ];
   }
 }
--- a/packages/brain/src/guard/callCourse.ts
+++ b/packages/brain/src/guard/callLifecycle.ts
@@ -8,12 +8,12 @@
 import {refuse} from './guardRefusals.js';
 import type {RefuseAction} from './guardRefusals.js';
 import type {ReportSchedule} from './reportSchedule.js';
-import {doubtNoted, standingEvent} from './standingActions.js';
+import {doubtChangeActions, standingEvent} from './standingActions.js';
 import type {CallEnd, UpstreamGuard} from './upstreamGuard.js';
 import type {StandingChange} from './upstreamStanding.js';
 
 /** An accepted call that has not ended. */
-export interface KnownCall {
+export interface AcceptedCall {
   /** With a reservation, the request digest only arrives with the go. */
   call: GuardCall;
   readonly upstream: UpstreamGuard;
@@ -22,8 +22,8 @@
 }
 
 /** Tracks calls while they wait or hold a slot, and passes freed slots on. */
-export class CallCourse {
-  private readonly calls = new Map<string, KnownCall>();
+export class CallLifecycle {
+  private readonly calls = new Map<string, AcceptedCall>();
 
   constructor(
     private readonly services: GuardedServices,
@@ -37,19 +37,19 @@
   }
 
   /** The accepted call; undefined once it has ended. */
-  get(callId: string): KnownCall | undefined {
+  get(callId: string): AcceptedCall | undefined {
     return this.calls.get(callId);
   }
 
   /** Adds an accepted call. */
-  add(call: GuardCall, upstream: UpstreamGuard): KnownCall {
-    const known: KnownCall = {call, upstream, reservedAt: undefined};
+  add(call: GuardCall, upstream: UpstreamGuard): AcceptedCall {
+    const known: AcceptedCall = {call, upstream, reservedAt: undefined};
     this.calls.set(call.id, known);
     return known;
   }
 
   /** Refuses a call that has not run; its once key can never run it later. */
-  refuseForGood(
+  refusePermanently(
     now: number,
     call: GuardCall,
     upstream: UpstreamGuard,
@@ -66,22 +66,22 @@
     callId: string,
     reason: RefusalReason,
   ): readonly GuardAction[] {
-    const known = this.take(callId);
+    const known = this.remove(callId);
     if (known === undefined) {
       return [];
     }
-    return [this.refuseForGood(now, known.call, known.upstream, reason)];
+    return [this.refusePermanently(now, known.call, known.upstream, reason)];
   }
 
   /** Removes a call that has ended; undefined if it was removed before. */
-  take(callId: string): KnownCall | undefined {
+  remove(callId: string): AcceptedCall | undefined {
     const known = this.calls.get(callId);
     this.calls.delete(callId);
     return known;
   }
 
   /** Sends a call that got its slot, or reserves the slot until its go. */
-  run(now: number, known: KnownCall): readonly GuardAction[] {
+  run(now: number, known: AcceptedCall): readonly GuardAction[] {
     if (known.call.needsGo === true) {
       known.reservedAt = now;
       return [{kind: 'reserve', callId: known.call.id}];
@@ -93,7 +93,7 @@
    * Sends the call to its upstream. A quarantined request, or a retry beyond
    * the retry budget, releases its slot instead.
    */
-  send(now: number, known: KnownCall): readonly GuardAction[] {
+  send(now: number, known: AcceptedCall): readonly GuardAction[] {
     const {call, upstream} = known;
     const quarantined = this.settings.quarantinedFor(now, call.requestDigest);
     if (quarantined > 0) {
@@ -109,7 +109,7 @@
   }
 
   /** Refuses calls queued for draining upstreams, so that they go elsewhere. */
-  refuseWhereDraining(now: number): readonly GuardAction[] {
+  refuseQueuedOnDraining(now: number): readonly GuardAction[] {
     if (this.settings.drainFinishesQueue) {
       return [];
     }
@@ -122,20 +122,20 @@
   /** Releases the slot of a call that was not sent, and refuses the call. */
   releaseReservation(
     now: number,
-    {call, upstream}: KnownCall,
+    {call, upstream}: AcceptedCall,
     reason: RefusalReason,
     retryAfter?: number,
   ): readonly GuardAction[] {
     this.calls.delete(call.id);
-    const freed = upstream.release(now, call.id);
+    const freedSlots = upstream.release(now, call.id);
     return [
-      this.refuseForGood(now, call, upstream, reason, retryAfter),
-      ...this.freed(now, freed),
+      this.refusePermanently(now, call, upstream, reason, retryAfter),
+      ...this.slotsFreed(now, freedSlots),
     ];
   }
 
   /** Starts the calls that got freed slots, and refuses the expired ones. */
-  freed(now: number, freed: DispatchResult): readonly GuardAction[] {
+  slotsFreed(now: number, freed: DispatchResult): readonly GuardAction[] {
     const expired = freed.expired.flatMap(({id}) =>
       this.refuseWaiting(now, id, 'deadline-too-short'),
     );
@@ -151,15 +151,15 @@
   }
 
   /** Actions after the end of a call that held a slot. */
-  ended(
+  callEnded(
     now: number,
     upstream: UpstreamGuard,
     {freed, change}: CallEnd,
     wasDoubted: boolean,
   ): readonly GuardAction[] {
     return [
-      ...this.freed(now, freed),
-      ...this.noted(now, upstream, change),
+      ...this.slotsFreed(now, freed),
+      ...this.standingChanged(now, upstream, change),
       ...this.doubtChanged(now, upstream, wasDoubted),
     ];
   }
@@ -183,7 +183,7 @@
       upstream.withdraw(id);
       return this.refuseWaiting(now, id, 'upstream-doubted');
     });
-    return [...doubtNoted(now, upstream, wasDoubted), ...refusals];
+    return [...doubtChangeActions(now, upstream, wasDoubted), ...refusals];
   }
 
   private mayRunDoubted(callId: string): boolean {
@@ -191,7 +191,7 @@
   }
 
   /** Actions after a change of an upstream's standing. */
-  noted(
+  standingChanged(
     now: number,
     upstream: UpstreamGuard,
     standing: StandingChange | undefined,
@@ -237,7 +237,7 @@
 
   private abortSent(
     now: number,
-    {call, upstream}: KnownCall,
+    {call, upstream}: AcceptedCall,
   ): readonly GuardAction[] {
     this.calls.delete(call.id);
     this.services.ledgerOf(call)?.broke(call.onceKey ?? '');
--- a/packages/brain/src/guard/offeredCalls.ts
+++ b/packages/brain/src/guard/callOfferHandler.ts
@@ -4,7 +4,7 @@
 import {parseOnceKey} from '@lockpin/once';
 import type {OnceDecision} from '@lockpin/once';
 import type {RandomSource} from '@lockpin/types';
-import type {CallCourse} from './callCourse.js';
+import type {CallLifecycle} from './callLifecycle.js';
 import type {GuardAction, GuardCall} from './guardMessages.js';
 import type {GuardedServices, ServiceState} from './guardedServices.js';
 import {leavingHint, refuse} from './guardRefusals.js';
@@ -12,10 +12,10 @@
 import type {UpstreamGuard} from './upstreamGuard.js';
 
 /** Admits or refuses offered calls; CallLifecycle tracks the accepted ones. */
-export class OfferedCalls {
+export class CallOfferHandler {
   constructor(
     private readonly services: GuardedServices,
-    private readonly lifecycle: CallCourse,
+    private readonly lifecycle: CallLifecycle,
     private readonly isLeaving: () => boolean,
   ) {}
 
@@ -26,7 +26,7 @@
     call: GuardCall,
   ): readonly GuardAction[] {
     const service = this.services.get(call.service);
-    const upstream = this.services.choose(now, call, random);
+    const upstream = this.services.chooseUpstream(now, call, random);
     if (service === undefined || upstream === undefined) {
       return [refuse(now, call, 'no-upstream', 'not-run', undefined)];
     }
@@ -76,13 +76,19 @@
     }
     const reason = upstream.refusalReason(now, call);
     if (reason !== undefined) {
-      return [this.lifecycle.refuseForGood(now, call, upstream, reason)];
+      return [this.lifecycle.refusePermanently(now, call, upstream, reason)];
     }
     const offer = upstream.offer(now, call);
     if (offer.kind === 'refused') {
       const after = offer.retryAfterMilliseconds;
       return [
-        this.lifecycle.refuseForGood(now, call, upstream, offer.reason, after),
+        this.lifecycle.refusePermanently(
+          now,
+          call,
+          upstream,
+          offer.reason,
+          after,
+        ),
       ];
     }
     const known = this.lifecycle.add(call, upstream);
@@ -108,7 +114,12 @@
     upstream: UpstreamGuard,
   ): GuardAction {
     const reason = 'node-leaving';
-    const refusal = this.lifecycle.refuseForGood(now, call, upstream, reason);
+    const refusal = this.lifecycle.refusePermanently(
+      now,
+      call,
+      upstream,
+      reason,
+    );
     const {hint} = refusal;
     return {...refusal, hint: hint && leavingHint(hint)};
   }
--- a/packages/brain/src/guard/payForSending.ts
+++ b/packages/brain/src/guard/chargeRetryBudget.ts
@@ -8,7 +8,7 @@
  * First attempts that are sent earn credit for retries. Returns false for a
  * retry that the budget does not cover, which must not be sent.
  */
-export function payForSending(
+export function chargeRetryBudget(
   now: number,
   {attempt, retryShare, mayBeRepeat}: GuardCall,
   retries: RetryAllowance,
--- a/packages/brain/src/guard/guardBrain.ts
+++ b/packages/brain/src/guard/guardBrain.ts
@@ -6,8 +6,8 @@
 import type {OnceHome} from '@lockpin/once';
 import type {LoadHint} from '@lockpin/routing';
 import type {RandomSource, UpstreamIncarnation} from '@lockpin/types';
-import {CallCourse} from './callCourse.js';
-import {CallEnds} from './callEnds.js';
+import {CallLifecycle} from './callLifecycle.js';
+import {CallEndHandler} from './callEndHandler.js';
 import {DEFAULT_GUARD_SETTINGS} from './guardMessages.js';
 import type {
   GuardAction,
@@ -17,18 +17,18 @@
 } from './guardMessages.js';
 import {GuardedServices} from './guardedServices.js';
 import {leavingHint} from './guardRefusals.js';
-import {OfferedCalls} from './offeredCalls.js';
+import {CallOfferHandler} from './callOfferHandler.js';
 import {ReportSchedule} from './reportSchedule.js';
-import {UpstreamEnds} from './upstreamEnds.js';
+import {UpstreamExitHandler} from './upstreamExitHandler.js';
 
 /** Deterministic: actions depend only on the state, now, random and event. */
 export class GuardBrain {
   private readonly services: GuardedServices;
   private readonly reports: ReportSchedule;
-  private readonly lifecycle: CallCourse;
-  private readonly offers: OfferedCalls;
-  private readonly callEndHandler: CallEnds;
-  private readonly exitHandler: UpstreamEnds;
+  private readonly lifecycle: CallLifecycle;
+  private readonly offers: CallOfferHandler;
+  private readonly callEndHandler: CallEndHandler;
+  private readonly exitHandler: UpstreamExitHandler;
   private isLeaving = false;
   /** Permits are only accepted once the holders stream was read to its end. */
   private mayTakePermits = false;
@@ -39,14 +39,14 @@
   ) {
     this.services = new GuardedServices(home, settings);
     this.reports = new ReportSchedule(home, this.services);
-    this.lifecycle = new CallCourse(this.services, this.reports, settings);
-    this.offers = new OfferedCalls(
+    this.lifecycle = new CallLifecycle(this.services, this.reports, settings);
+    this.offers = new CallOfferHandler(
       this.services,
       this.lifecycle,
       () => this.isLeaving,
     );
-    this.exitHandler = new UpstreamEnds(this.services, this.lifecycle);
-    this.callEndHandler = new CallEnds(
+    this.exitHandler = new UpstreamExitHandler(this.services, this.lifecycle);
+    this.callEndHandler = new CallEndHandler(
       this.services,
       this.lifecycle,
       this.exitHandler,
@@ -106,14 +106,14 @@
       case 'call-go':
         return this.go(now, event.callId, event.requestDigest);
       case 'call-cancelled':
-        return this.callEndHandler.givenUp(now, event.callId, 'caller-left');
+        return this.callEndHandler.abandoned(now, event.callId, 'caller-left');
       case 'own-call-failed':
         for (const upstream of this.services.upstreams()) {
           upstream.ownCallFailed(now);
         }
         return [];
       case 'call-deadline-passed':
-        return this.callEndHandler.givenUp(
+        return this.callEndHandler.abandoned(
           now,
           event.callId,
           'deadline-passed',
@@ -122,8 +122,8 @@
         return this.callEndHandler.answered(now, event);
       case 'upstream-failed':
         return this.callEndHandler.failed(now, event.callId, event.wasSent);
-      case 'upstream-looked-at':
-        return this.exitHandler.lookedAt(now, event);
+      case 'upstream-checked':
+        return this.exitHandler.checkFinished(now, event);
       case 'upstream-refused':
         return this.callEndHandler.refused(now, event.callId, event.reason);
       case 'services-changed':
@@ -155,13 +155,13 @@
     const replaced = this.services.configure(services);
     return [
       ...replaced.flatMap((upstream) =>
-        this.exitHandler.succeeded(
+        this.exitHandler.processReplaced(
           now,
           upstream,
           this.hintOf(now, upstream.name),
         ),
       ),
-      ...this.lifecycle.refuseWhereDraining(now),
+      ...this.lifecycle.refuseQueuedOnDraining(now),
     ];
   }
 
@@ -195,7 +195,7 @@
       return [];
     }
     state.fence = reply.fence;
-    return this.lifecycle.noted(
+    return this.lifecycle.standingChanged(
       now,
       upstream,
       upstream.standing.replied(now, reply),
@@ -226,10 +226,10 @@
       const wasDoubted = upstream.isDoubted(now);
       const {freed, changes} = upstream.review(now);
       actions.push(...this.lifecycle.doubtChanged(now, upstream, wasDoubted));
-      actions.push(...this.lifecycle.freed(now, freed));
-      actions.push(...this.exitHandler.look(now, upstream));
+      actions.push(...this.lifecycle.slotsFreed(now, freed));
+      actions.push(...this.exitHandler.checkIfDue(now, upstream));
       for (const change of changes) {
-        actions.push(...this.lifecycle.noted(now, upstream, change));
+        actions.push(...this.lifecycle.standingChanged(now, upstream, change));
       }
     }
     actions.push(...this.reports.due(now));
--- a/packages/brain/src/guard/guardMessages.ts
+++ b/packages/brain/src/guard/guardMessages.ts
@@ -5,7 +5,7 @@
 import type {LoadHint, RetryAllowance} from '@lockpin/routing';
 import type {StoredAnswer} from '@lockpin/once';
 import type {Fence, GuardReport, HolderReply} from '@lockpin/floor';
-import type {Presence} from '@lockpin/quarantine';
+import type {AddressState} from '@lockpin/quarantine';
 import type {DoubtReason} from './quickDoubt.js';
 import type {
   Refusal,
@@ -140,11 +140,11 @@
     }
   /** Result of the connection check on an upstream that broke calls. */
   | {
-      readonly kind: 'upstream-looked-at';
+      readonly kind: 'upstream-checked';
       readonly upstream: string;
       /** The process that broke the calls. */
       readonly incarnation: UpstreamIncarnation | undefined;
-      readonly presence: Presence;
+      readonly addressState: AddressState;
     }
   /** The upstream itself refused the call without running it. */
   | {
@@ -202,7 +202,7 @@
     }
   /** Check whether anything listens at the upstream's address. */
   | {
-      readonly kind: 'look-at-upstream';
+      readonly kind: 'check-upstream';
       readonly upstream: string;
       readonly incarnation: UpstreamIncarnation | undefined;
     }
--- a/packages/brain/src/guard/guardedServices.ts
+++ b/packages/brain/src/guard/guardedServices.ts
@@ -110,7 +110,7 @@
   }
 
   /** The upstream named by the call; the least occupied for once-only calls. */
-  choose(
+  chooseUpstream(
     now: number,
     call: GuardCall,
     random: RandomSource,
--- a/packages/brain/src/guard/quickDoubt.ts
+++ b/packages/brain/src/guard/quickDoubt.ts
@@ -125,15 +125,15 @@
   }
 
   /** Duration of doubt that is announced to entries, in milliseconds. */
-  announcedFor(now: number): number {
+  announcedMilliseconds(now: number): number {
     return this.isDoubted(now)
       ? this.doubt.remaining(now)
       : UNCERTAIN_RETRY_MILLISECONDS;
   }
 
   /** Milliseconds until the next probe is allowed. */
-  untilProbe(now: number): number {
-    return this.doubt.untilProbe(now);
+  millisecondsUntilProbe(now: number): number {
+    return this.doubt.millisecondsUntilProbe(now);
   }
 
   /**
@@ -147,7 +147,7 @@
     this.nextUnprovenCallAt =
       now + Math.min(MAXIMUM_CALL_INTERVAL_MILLISECONDS, interval);
     if (this.isDoubted(now)) {
-      this.doubt.probed(now);
+      this.doubt.recordProbe(now);
     }
   }
 
--- a/packages/brain/src/guard/standingActions.ts
+++ b/packages/brain/src/guard/standingActions.ts
@@ -20,7 +20,7 @@
 }
 
 /** Actions that publish the start or end of doubt; none if unchanged. */
-export function doubtNoted(
+export function doubtChangeActions(
   now: number,
   upstream: UpstreamGuard,
   wasDoubted: boolean,
--- a/packages/brain/src/guard/waitingCall.ts
+++ b/packages/brain/src/guard/toWaitingCall.ts
@@ -5,7 +5,7 @@
 import type {GuardCall} from './guardMessages.js';
 
 /** Selects the properties that decide when a call gets its slot. */
-export function waitingCall(
+export function toWaitingCall(
   call: GuardCall,
   expectedMilliseconds: number | undefined,
 ): WaitingCall {
--- a/packages/brain/src/guard/upstreamEnds.ts
+++ b/packages/brain/src/guard/upstreamExitHandler.ts
@@ -3,23 +3,23 @@
 
 import type {LoadHint} from '@lockpin/routing';
 import {isSameIncarnation} from '@lockpin/utils';
-import type {CallCourse} from './callCourse.js';
+import type {CallLifecycle} from './callLifecycle.js';
 import type {GuardAction, GuardEvent} from './guardMessages.js';
 import type {GuardedServices} from './guardedServices.js';
 import type {UpstreamGuard} from './upstreamGuard.js';
 
 /** Handles broken calls, connection checks and replaced processes. */
-export class UpstreamEnds {
+export class UpstreamExitHandler {
   constructor(
     private readonly services: GuardedServices,
-    private readonly lifecycle: CallCourse,
+    private readonly lifecycle: CallLifecycle,
   ) {}
 
   /**
    * Handles a broken call. A draining upstream is expected to exit and to break
    * calls that outlast it, so its exit is no crash.
    */
-  broke(
+  callBroke(
     now: number,
     upstream: UpstreamGuard,
     requestDigest: string,
@@ -27,36 +27,39 @@
     return upstream.isDraining
       ? []
       : [
-          ...crashed(upstream, upstream.crashes.broke(now, requestDigest)),
-          ...this.look(now, upstream),
+          ...crashed(upstream, upstream.crashes.callBroke(now, requestDigest)),
+          ...this.checkIfDue(now, upstream),
         ];
   }
 
   /** Requests a connection check if one is due after broken calls. */
-  look(now: number, upstream: UpstreamGuard): readonly GuardAction[] {
+  checkIfDue(now: number, upstream: UpstreamGuard): readonly GuardAction[] {
     const {name, incarnation} = upstream;
-    return upstream.crashes.beginLook(now)
-      ? [{kind: 'look-at-upstream', upstream: name, incarnation}]
+    return upstream.crashes.beginCheck(now)
+      ? [{kind: 'check-upstream', upstream: name, incarnation}]
       : [];
   }
 
   /** Handles a connection check, unless it concerns an earlier process. */
-  lookedAt(
+  checkFinished(
     now: number,
-    event: GuardEvent & {readonly kind: 'upstream-looked-at'},
+    event: GuardEvent & {readonly kind: 'upstream-checked'},
   ): readonly GuardAction[] {
     const upstream = this.services.upstream(event.upstream);
     return upstream === undefined ||
       !isSameIncarnation(upstream.incarnation, event.incarnation)
       ? []
-      : crashed(upstream, upstream.crashes.looked(now, event.presence));
+      : crashed(
+          upstream,
+          upstream.crashes.checkFinished(now, event.addressState),
+        );
   }
 
   /**
    * Handles a process that was replaced by another one with the same id: its
    * calls can no longer be answered, and its announced standing is obsolete.
    */
-  succeeded(
+  processReplaced(
     now: number,
     upstream: UpstreamGuard,
     hint: LoadHint | undefined,
--- a/packages/brain/src/guard/upstreamGuard.ts
+++ b/packages/brain/src/guard/upstreamGuard.ts
@@ -9,7 +9,7 @@
 } from '@lockpin/admission';
 import type {CallEvidenceKind} from '@lockpin/detection';
 import type {Fence, GuardReport} from '@lockpin/floor';
-import {CrashWatch} from '@lockpin/quarantine';
+import {CrashDetector} from '@lockpin/quarantine';
 import type {LoadHint, RetryAllowance} from '@lockpin/routing';
 import type {
   RefusalReason,
@@ -21,7 +21,7 @@
 import {FIRST_FAILED_STATUS} from '@lockpin/utils';
 import type {GuardCall, GuardSettings} from './guardMessages.js';
 import {OwnCallFailures} from './ownCallFailures.js';
-import {payForSending} from './payForSending.js';
+import {chargeRetryBudget} from './chargeRetryBudget.js';
 import {presumedDuration} from './presumedDuration.js';
 import {QuickDoubt} from './quickDoubt.js';
 import type {DoubtReason} from './quickDoubt.js';
@@ -31,7 +31,7 @@
 import {UpstreamStanding} from './upstreamStanding.js';
 import type {StandingChange} from './upstreamStanding.js';
 import {UsualDurations} from './usualDurations.js';
-import {waitingCall} from './waitingCall.js';
+import {toWaitingCall} from './toWaitingCall.js';
 
 /** Share of its limit that a suspect upstream announces, to divert calls. */
 const SUSPECT_LIMIT_SHARE = 0.25;
@@ -51,7 +51,7 @@
   /** Verdict of the sequential tests, and the resulting ejection state. */
   readonly standing: UpstreamStanding;
   /** Detects from broken calls whether the process has ended. */
-  readonly crashes = new CrashWatch();
+  readonly crashes = new CrashDetector();
   private readonly running = new Map<string, RunningCall>();
   private readonly doubt: QuickDoubt;
   private readonly refusals: UpstreamRefusals;
@@ -134,16 +134,16 @@
     if (state !== 'doubted') {
       return {state, occupied, limit};
     }
-    const doubtedFor = this.doubt.announcedFor(now);
-    const probeIn = this.doubt.untilProbe(now);
+    const doubtedFor = this.doubt.announcedMilliseconds(now);
+    const probeIn = this.doubt.millisecondsUntilProbe(now);
     return {state, occupied, limit, doubtedFor, probeIn};
   }
 
   /** Why calls of this kind are refused now; undefined if they are accepted. */
   refusalReason(now: number, call: GuardCall): RefusalReason | undefined {
     const {isDraining, isReplaced, isIdle} = this;
-    const presence = {isDraining, isReplaced, isIdle};
-    return this.refusals.reason(now, call, presence);
+    const condition = {isDraining, isReplaced, isIdle};
+    return this.refusals.reason(now, call, condition);
   }
 
   /** Milliseconds after which a refused call may be offered again. */
@@ -156,7 +156,7 @@
   offer(now: number, call: GuardCall): AdmissionDecision {
     const offer = this.admission.offer(
       now,
-      waitingCall(call, this.usualDuration(now, call)),
+      toWaitingCall(call, this.usualDuration(now, call)),
     );
     if (offer.kind === 'start') {
       this.start(now, call);
@@ -172,7 +172,7 @@
 
   /** Sends a call that has its slot; false if the retry budget is exhausted. */
   send(now: number, call: GuardCall): boolean {
-    if (!payForSending(now, call, this.retries)) {
+    if (!chargeRetryBudget(now, call, this.retries)) {
       return false;
     }
     this.running.set(call.id, {call, startedAt: now, isSent: true});
@@ -314,7 +314,7 @@
 
   private usualDuration(now: number, call: GuardCall): number | undefined {
     const isCold = now < (this.spec.coldUntil ?? 0);
-    return this.durations.of(call, isCold);
+    return this.durations.usualDuration(call, isCold);
   }
 
   private observe(now: number, callId: string, kind: CallEvidenceKind): void {
--- a/packages/brain/src/guard/upstreamRefusals.ts
+++ b/packages/brain/src/guard/upstreamRefusals.ts
@@ -8,7 +8,7 @@
 import type {UpstreamStanding} from './upstreamStanding.js';
 
 /** State of the upstream other than its doubt and standing. */
-export interface UpstreamPresence {
+export interface UpstreamCondition {
   readonly isDraining: boolean;
   /** Whether another process answers at the address. */
   readonly isReplaced: boolean;
@@ -28,7 +28,7 @@
   reason(
     now: number,
     call: GuardCall,
-    {isDraining, isReplaced, isIdle}: UpstreamPresence,
+    {isDraining, isReplaced, isIdle}: UpstreamCondition,
   ): RefusalReason | undefined {
     if (isDraining) {
       return 'upstream-draining';
@@ -59,7 +59,7 @@
     const isProbe =
       call.repetition === 'repeatable' &&
       call.attempt === 1 &&
-      this.doubt.untilProbe(now) === 0;
+      this.doubt.millisecondsUntilProbe(now) === 0;
     return isProbe || call.mayRunDoubted === true;
   }
 
--- a/packages/brain/src/guard/upstreamStanding.ts
+++ b/packages/brain/src/guard/upstreamStanding.ts
@@ -7,7 +7,7 @@
   EjectionCycle,
   GrayDetector,
 } from '@lockpin/detection';
-import type {CycleChange, Verdict} from '@lockpin/detection';
+import type {CycleTransition, Verdict} from '@lockpin/detection';
 import type {Fence, GuardReport, HolderReply} from '@lockpin/floor';
 import type {Sensitivity} from '@lockpin/types';
 import type {GuardCall} from './guardMessages.js';
@@ -15,7 +15,7 @@
 
 /** A change of an upstream's standing, for the timeline. */
 export interface StandingChange {
-  readonly change: CycleChange;
+  readonly change: CycleTransition;
   readonly verdict: Verdict;
 }
 
@@ -69,7 +69,7 @@
 
   /** Whether a running call has taken far longer than is typical of peers. */
   isOverdue(now: number, {call, startedAt}: RunningCall): boolean {
-    return now - startedAt > this.detector.slowAfter(call.route);
+    return now - startedAt > this.detector.slowAfterMilliseconds(call.route);
   }
 
   /** Records the outcome of a call, which may be a probe on probation. */
@@ -89,7 +89,7 @@
     now: number,
     running: Iterable<RunningCall>,
   ): readonly StandingChange[] {
-    this.detector.closeSpan(now, () => this.countOverdue(now, running));
+    this.detector.closeWindow(now, () => this.countOverdue(now, running));
     const changes = [
       this.assess(now),
       this.standingChange(this.cycle.review(now)),
@@ -176,9 +176,10 @@
     milliseconds: number,
     running: RunningCall,
   ): StandingChange | undefined {
-    const slow = milliseconds > this.detector.slowAfter(running.call.route);
+    const slow =
+      milliseconds > this.detector.slowAfterMilliseconds(running.call.route);
     const isRepeatable = running.call.repetition === 'repeatable';
-    const change = this.cycle.probed(now, !failed && !slow, isRepeatable);
+    const change = this.cycle.recordProbe(now, !failed && !slow, isRepeatable);
     if (change === 'returned') {
       this.resetEvidence(now);
     }
@@ -193,7 +194,7 @@
     const isStillSuspect =
       this.cycle.state === 'condemned' && this.lastVerdict.suspect;
     const condemned = this.lastVerdict.condemned || isStillSuspect;
-    return this.standingChange(this.cycle.judged(condemned));
+    return this.standingChange(this.cycle.applyVerdict(condemned));
   }
 
   private resetEvidence(now: number): void {
@@ -202,7 +203,7 @@
   }
 
   private standingChange(
-    change: CycleChange | undefined,
+    change: CycleTransition | undefined,
   ): StandingChange | undefined {
     return change === undefined
       ? undefined
--- a/packages/brain/src/guard/usualDurations.ts
+++ b/packages/brain/src/guard/usualDurations.ts
@@ -18,7 +18,7 @@
   }
 
   /** Usual duration of a call in milliseconds; undefined if unknown. */
-  of(
+  usualDuration(
     {route, expectedMilliseconds}: GuardCall,
     isCold: boolean,
   ): number | undefined {
--- a/packages/detection/src/__tests__/doubt.test.ts
+++ b/packages/detection/src/__tests__/doubt.test.ts
@@ -27,7 +27,7 @@
     doubt.observe(0, 'broken');
     doubt.observe(500, 'well');
     expect(doubt.isDoubted(501)).toBe(true);
-    expect(doubt.untilProbe(501)).toBe(0);
+    expect(doubt.millisecondsUntilProbe(501)).toBe(0);
     expect(doubt.observe(600, 'well')).toBe(true);
     expect(doubt.isDoubted(601)).toBe(false);
   });
@@ -56,10 +56,10 @@
   it('increases the probe interval while probes fail', () => {
     const doubt = new Doubt();
     doubt.observe(0, 'broken');
-    expect(doubt.untilProbe(0)).toBe(400);
+    expect(doubt.millisecondsUntilProbe(0)).toBe(400);
     doubt.observe(400, 'broken');
-    expect(doubt.untilProbe(400)).toBe(800);
+    expect(doubt.millisecondsUntilProbe(400)).toBe(800);
     doubt.observe(1200, 'broken');
-    expect(doubt.untilProbe(1200)).toBe(1000);
+    expect(doubt.millisecondsUntilProbe(1200)).toBe(1000);
   });
 });
--- a/packages/detection/src/__tests__/ejectionCycle.test.ts
+++ b/packages/detection/src/__tests__/ejectionCycle.test.ts
@@ -9,7 +9,7 @@
 
 /** Condemns and ejects, then waits for probation; returns the hold duration. */
 function ejectAndHold(cycle: EjectionCycle, now: number): number {
-  cycle.judged(true);
+  cycle.applyVerdict(true);
   expect(cycle.granted(now, cycle.requestNumber)).toBe('ejected');
   const hold = cycle.remainingHold(now);
   expect(cycle.review(now + hold - 1)).toBeUndefined();
@@ -22,10 +22,10 @@
     const cycle = new EjectionCycle(SETTINGS);
     const hold = ejectAndHold(cycle, 0);
     for (let i = 1; i < PROBATION_CALLS; i += 1) {
-      expect(cycle.probed(hold + i, true)).toBeUndefined();
+      expect(cycle.recordProbe(hold + i, true)).toBeUndefined();
       expect(cycle.holdsPermit).toBe(true);
     }
-    expect(cycle.probed(hold + 100, true)).toBe('returned');
+    expect(cycle.recordProbe(hold + 100, true)).toBe('returned');
     expect(cycle.holdsPermit).toBe(false);
   });
 
@@ -38,7 +38,7 @@
       holds.push(hold);
       now += hold;
       for (let call = 0; call < PROBATION_CALLS; call += 1) {
-        cycle.probed(now, true);
+        cycle.recordProbe(now, true);
       }
       now += 1000;
     }
@@ -48,14 +48,14 @@
   it('ejects again after the first failed call on probation', () => {
     const cycle = new EjectionCycle(SETTINGS);
     const hold = ejectAndHold(cycle, 0);
-    cycle.probed(hold, true);
-    expect(cycle.probed(hold + 1, false)).toBe('hold-renewed');
+    cycle.recordProbe(hold, true);
+    expect(cycle.recordProbe(hold + 1, false)).toBe('hold-renewed');
     expect(cycle.remainingHold(hold + 1)).toBe(20_000);
   });
 
   it('returns to service at once when its permit is revoked', () => {
     const cycle = new EjectionCycle(SETTINGS);
-    cycle.judged(true);
+    cycle.applyVerdict(true);
     const request = cycle.requestNumber;
     cycle.granted(0, request);
     expect(cycle.revoked(1)).toBe('permit-revoked');
--- a/packages/detection/src/__tests__/grayDetector.test.ts
+++ b/packages/detection/src/__tests__/grayDetector.test.ts
@@ -7,7 +7,7 @@
 import type {CallEvidence} from '../grayDetector.js';
 import type {PeerBaseline} from '../peerBaseline.js';
 import {DETECTION_SETTINGS} from '../sensitivity.js';
-import {SPAN_MILLISECONDS} from '../slownessTest.js';
+import {WINDOW_MILLISECONDS} from '../slownessTest.js';
 
 const GAP_MILLISECONDS = 50;
 const TYPICAL_MILLISECONDS = 25;
@@ -41,7 +41,7 @@
       milliseconds: TYPICAL_MILLISECONDS,
       ...make(i),
     });
-    detector.closeSpan(now, () => new Map());
+    detector.closeWindow(now, () => new Map());
     if (detector.verdict(now).condemned) {
       return now - startAt;
     }
@@ -110,8 +110,8 @@
   it('condemns an upstream whose calls never end', () => {
     const made = detector();
     let condemnedAt: number | undefined;
-    for (let now = 0; now < 5000; now += SPAN_MILLISECONDS) {
-      made.closeSpan(
+    for (let now = 0; now < 5000; now += WINDOW_MILLISECONDS) {
+      made.closeWindow(
         now,
         () =>
           new Map([
@@ -126,8 +126,8 @@
 
   it('does not condemn for a single long call', () => {
     const made = detector();
-    for (let now = 0; now < 20_000; now += SPAN_MILLISECONDS) {
-      made.closeSpan(
+    for (let now = 0; now < 20_000; now += WINDOW_MILLISECONDS) {
+      made.closeWindow(
         now,
         () =>
           new Map([
--- a/packages/detection/src/doubt.ts
+++ b/packages/detection/src/doubt.ts
@@ -93,12 +93,12 @@
   }
 
   /** Milliseconds until a repeatable call may probe the upstream. */
-  untilProbe(now: number): number {
+  millisecondsUntilProbe(now: number): number {
     return Math.max(0, this.nextProbeAt - now);
   }
 
   /** Records that a repeatable call was sent as a probe. */
-  probed(now: number): void {
+  recordProbe(now: number): void {
     this.nextProbeAt = now + this.probeInterval();
   }
 
--- a/packages/detection/src/ejectionCycle.ts
+++ b/packages/detection/src/ejectionCycle.ts
@@ -19,7 +19,7 @@
 const HOLD_RESET_MILLISECONDS = 600_000;
 
 /** A state transition, as recorded in the timeline. */
-export type CycleChange =
+export type CycleTransition =
   | 'condemned'
   | 'acquitted'
   | 'ejected'
@@ -68,7 +68,7 @@
   }
 
   /** Applies the verdict on the evidence of real calls, while in service. */
-  judged(condemned: boolean): CycleChange | undefined {
+  applyVerdict(condemned: boolean): CycleTransition | undefined {
     if (this.current === 'in-service' && condemned) {
       this.current = 'condemned';
       return 'condemned';
@@ -80,7 +80,7 @@
   }
 
   /** Handles the grant of a permit request by the permit holder. */
-  granted(now: number, request: number): CycleChange | undefined {
+  granted(now: number, request: number): CycleTransition | undefined {
     if (this.current !== 'condemned' || request !== this.request) {
       return undefined;
     }
@@ -93,7 +93,7 @@
   }
 
   /** Handles the revocation of the permit when the floor needs the slots. */
-  revoked(now: number): CycleChange | undefined {
+  revoked(now: number): CycleTransition | undefined {
     if (!this.holdsPermit) {
       return undefined;
     }
@@ -102,7 +102,7 @@
   }
 
   /** Begins probation once the ejection is over. */
-  review(now: number): CycleChange | undefined {
+  review(now: number): CycleTransition | undefined {
     if (this.current === 'ejected' && now >= this.holdUntil) {
       this.current = 'probation';
       this.successes = 0;
@@ -125,11 +125,11 @@
   }
 
   /** Records the outcome of a call that ended during probation. */
-  probed(
+  recordProbe(
     now: number,
     well: boolean,
     isRepeatable = true,
-  ): CycleChange | undefined {
+  ): CycleTransition | undefined {
     if (this.current !== 'probation') {
       return undefined;
     }
@@ -150,17 +150,17 @@
   }
 
   private restartRepeatableOnlyPeriod(now: number): void {
-    this.repeatableOnlyUntil = now + this.settings.firstHold;
+    this.repeatableOnlyUntil = now + this.settings.initialHoldMilliseconds;
   }
 
   private hold(now: number): void {
-    const length = this.settings.firstHold * 2 ** this.ejections;
+    const length = this.settings.initialHoldMilliseconds * 2 ** this.ejections;
     this.holdUntil = now + Math.min(MAXIMUM_HOLD_MILLISECONDS, length);
     this.ejections += 1;
   }
 
   /** Returns the permit; a grant that is still in transit no longer applies. */
-  private release(change: CycleChange): CycleChange {
+  private release(change: CycleTransition): CycleTransition {
     this.current = 'in-service';
     this.request += 1;
     return change;
--- a/packages/detection/src/grayDetector.ts
+++ b/packages/detection/src/grayDetector.ts
@@ -6,10 +6,10 @@
 import {CumulativeSum} from './cumulativeSum.js';
 import type {SequentialHypotheses} from './cumulativeSum.js';
 import {CustomerEvidence} from './customerEvidence.js';
-import {ALL_CALLS, LEAST_COMPARED_WEIGHT} from './peerBaseline.js';
+import {ALL_CALLS, MINIMUM_COMPARED_WEIGHT} from './peerBaseline.js';
 import type {PeerBaseline, PeerSummary} from './peerBaseline.js';
 import type {DetectionSettings} from './sensitivity.js';
-import {SlownessTest, SPAN_MILLISECONDS} from './slownessTest.js';
+import {SlownessTest, WINDOW_MILLISECONDS} from './slownessTest.js';
 
 /** One finished call. */
 export interface CallEvidence {
@@ -97,7 +97,7 @@
   }
 
   /** Milliseconds after which a running call counts as slow. */
-  slowAfter(route: string): number {
+  slowAfterMilliseconds(route: string): number {
     const known = this.baselineOf(route) ?? this.baselineOf(ALL_CALLS);
     const typical = known?.typicalMilliseconds ?? 0;
     return typical > 0 ? typical * SLOW_FACTOR : Number.POSITIVE_INFINITY;
@@ -105,7 +105,7 @@
 
   /** Records a finished call. */
   observe(now: number, call: CallEvidence): void {
-    const slow = call.milliseconds > this.slowAfter(call.route);
+    const slow = call.milliseconds > this.slowAfterMilliseconds(call.route);
     const duration = call.failed ? undefined : call.milliseconds;
     this.customers.add(now, call.customer, call.failed);
     for (const route of [call.route, ALL_CALLS]) {
@@ -113,7 +113,7 @@
       evidence.statistics.add(now, call.failed, duration);
       this.testErrors(now, route, evidence, call);
       if (!call.failed) {
-        evidence.slowness.ended(slow);
+        evidence.slowness.recordCall(slow);
       }
     }
   }
@@ -122,14 +122,14 @@
    * Closes the current time window once it is over. The function counts the
    * running calls of each kind that are overdue.
    */
-  closeSpan(
+  closeWindow(
     now: number,
     countOverdue: () => ReadonlyMap<string, number>,
   ): void {
     if (now < this.windowEndsAt) {
       return;
     }
-    this.windowEndsAt = now + SPAN_MILLISECONDS;
+    this.windowEndsAt = now + WINDOW_MILLISECONDS;
     const overdue = countOverdue();
     for (const route of overdue.keys()) {
       this.evidence(route);
@@ -137,7 +137,7 @@
     const maximum = this.settings.slowThreshold * MAXIMUM_SEVERITY;
     for (const [route, {slowness}] of this.routes) {
       const peers = this.baselineOf(route)?.slowShare ?? 0;
-      slowness.closeSpan(now, overdue.get(route) ?? 0, peers, maximum);
+      slowness.closeWindow(now, overdue.get(route) ?? 0, peers, maximum);
     }
   }
 
@@ -148,7 +148,7 @@
         route,
         summary: statistics.summary(now, slowness.slowShare),
       }))
-      .filter(({summary}) => summary.weight >= LEAST_COMPARED_WEIGHT)
+      .filter(({summary}) => summary.weight >= MINIMUM_COMPARED_WEIGHT)
       .sort((a, b) => b.summary.weight - a.summary.weight)
       .slice(0, MAXIMUM_REPORTED_KINDS);
     const failing = this.customers.failing(now);
@@ -187,7 +187,7 @@
     const severity = errors.score / this.settings.errorThreshold;
     const isCertain =
       severity >= 1 &&
-      now - errors.risingSince >= this.settings.shortestRise &&
+      now - errors.risingSince >= this.settings.minimumRiseMilliseconds &&
       this.customers.isShared(now);
     const suspect = severity >= 0.5;
     return {condemned: isCertain, suspect, severity, cause: 'errors', route};
--- a/packages/detection/src/peerBaseline.ts
+++ b/packages/detection/src/peerBaseline.ts
@@ -15,7 +15,7 @@
 export const ALL_CALLS = '*';
 
 /** Summaries of fewer calls than this are too small to compare. */
-export const LEAST_COMPARED_WEIGHT = 3;
+export const MINIMUM_COMPARED_WEIGHT = 3;
 
 /** Share of failed calls from which a customer is reported as failing. */
 export const FAILING_CUSTOMER_SHARE = 0.3;
@@ -36,7 +36,7 @@
   for (const kind of kinds) {
     const summaries = peers.flatMap((peer) => {
       const summary = peer.calls[kind];
-      return summary && summary.weight >= LEAST_COMPARED_WEIGHT
+      return summary && summary.weight >= MINIMUM_COMPARED_WEIGHT
         ? [summary]
         : [];
     });
--- a/packages/detection/src/sensitivity.ts
+++ b/packages/detection/src/sensitivity.ts
@@ -13,11 +13,11 @@
   /** Score of the slowness test at which an upstream is condemned. */
   readonly slowThreshold: number;
   /** Failures must have lasted this long, whatever their score is. */
-  readonly shortestRise: number;
+  readonly minimumRiseMilliseconds: number;
   /** Time that an ejection request must persist before it is granted. */
   readonly settleMilliseconds: number;
   /** Duration of the first ejection, in milliseconds. */
-  readonly firstHold: number;
+  readonly initialHoldMilliseconds: number;
 }
 
 /** The settings of each sensitivity; see docs/MEASUREMENTS.md. */
@@ -27,22 +27,22 @@
   fast: {
     errorThreshold: 14,
     slowThreshold: 11,
-    shortestRise: 100,
+    minimumRiseMilliseconds: 100,
     settleMilliseconds: 150,
-    firstHold: 5000,
+    initialHoldMilliseconds: 5000,
   },
   balanced: {
     errorThreshold: 18,
     slowThreshold: 13.5,
-    shortestRise: 200,
+    minimumRiseMilliseconds: 200,
     settleMilliseconds: 250,
-    firstHold: 10_000,
+    initialHoldMilliseconds: 10_000,
   },
   careful: {
     errorThreshold: 24,
     slowThreshold: 14,
-    shortestRise: 400,
+    minimumRiseMilliseconds: 400,
     settleMilliseconds: 400,
-    firstHold: 15_000,
+    initialHoldMilliseconds: 15_000,
   },
 };
--- a/packages/detection/src/slownessTest.ts
+++ b/packages/detection/src/slownessTest.ts
@@ -8,7 +8,7 @@
  * calls, so single calls are not independent evidence of slowness; windows of
  * this length nearly are.
  */
-export const SPAN_MILLISECONDS = 200;
+export const WINDOW_MILLISECONDS = 200;
 
 /** Overdue calls that make a window slow although no call has ended in it. */
 const MINIMUM_OVERDUE = 2;
@@ -40,7 +40,7 @@
   }
 
   /** Records a call that ended in the current window. */
-  ended(isSlow: boolean): void {
+  recordCall(isSlow: boolean): void {
     if (isSlow) {
       this.slow += 1;
     } else {
@@ -49,7 +49,7 @@
   }
 
   /** Closes the window; overdue is the number of late calls still running. */
-  closeSpan(
+  closeWindow(
     now: number,
     overdue: number,
     peersSlowShare: number,
--- a/packages/fleet/src/checkBoxRecord.ts
+++ b/packages/fleet/src/checkBoxRecord.ts
@@ -5,7 +5,7 @@
  * stay the newest of its box forever.
  */
 
-import {MOST_LIFTS, MOST_REPORTS} from '@lockpin/quarantine';
+import {MAXIMUM_LIFTS, MAXIMUM_REPORTS} from '@lockpin/quarantine';
 import type {Result} from '@lockpin/types';
 import {failure, parseAddress, success} from '@lockpin/utils';
 import type {BoxRecord} from './boxRecord.js';
@@ -141,7 +141,7 @@
 function areRunReports(value: unknown): boolean {
   return (
     Array.isArray(value) &&
-    value.length <= MOST_REPORTS &&
+    value.length <= MAXIMUM_REPORTS &&
     value.every(isRunReport)
   );
 }
@@ -162,7 +162,7 @@
 function areLifts(value: unknown, now: number): boolean {
   return (
     Array.isArray(value) &&
-    value.length <= MOST_LIFTS &&
+    value.length <= MAXIMUM_LIFTS &&
     value.every((lift) => isLift(lift, now))
   );
 }
--- a/packages/fleet/src/suspectRequests.ts
+++ b/packages/fleet/src/suspectRequests.ts
@@ -3,7 +3,7 @@
  * Requests suspected of crashing upstreams: what this node knows and reports.
  */
 
-import {OwnLifts, OwnRuns, Quarantine, isInQuestion} from '@lockpin/quarantine';
+import {OwnLifts, OwnRuns, Quarantine, isSuspected} from '@lockpin/quarantine';
 import type {
   QuarantineLift,
   QuarantinedRequest,
@@ -38,7 +38,7 @@
 
   /** All requests that no upstream may run now. */
   quarantined(now: number): readonly QuarantinedRequest[] {
-    return this.quarantine.all(now);
+    return this.quarantine.quarantinedRequests(now);
   }
 
   /** Number of requests that were running when an upstream crashed. */
@@ -59,7 +59,7 @@
   /** Applies the run reports and lifts of a box. */
   learn(now: number, {box, service, runs, lifts}: BoxRecord): void {
     if (runs !== undefined) {
-      const changes = this.quarantine.learn(now, box, runs, service);
+      const changes = this.quarantine.addReports(now, box, runs, service);
       this.unprocessed = [...this.unprocessed, ...changes];
     }
     if (lifts !== undefined) {
@@ -87,7 +87,7 @@
 
   /** A run ended without crashing the upstream of this box. */
   survived(now: number, digest: string): void {
-    const wantsSurvival = this.quarantine.wantsSurvivals(digest);
+    const wantsSurvival = this.quarantine.needsSurvivalReports(digest);
     this.markChanged(this.own.survived(now, digest, wantsSurvival));
   }
 
@@ -109,8 +109,8 @@
       return [];
     }
     this.unprocessed = [];
-    for (const standing of unprocessed.filter(isInQuestion)) {
-      this.markChanged(this.own.questioned(now, standing.digest));
+    for (const standing of unprocessed.filter(isSuspected)) {
+      this.markChanged(this.own.reportPastSurvival(now, standing.digest));
     }
     return unprocessed.flatMap((standing) => actionsFor(now, standing));
   }
@@ -129,7 +129,7 @@
    * permanently.
    */
   private applyLifts(now: number, lifts: readonly QuarantineLift[]): void {
-    const changes = this.quarantine.learnLifts(now, lifts);
+    const changes = this.quarantine.addLifts(now, lifts);
     this.unprocessed = [...this.unprocessed, ...changes];
     lifts.forEach((lift) => this.markChanged(this.own.lifted(lift)));
   }
@@ -154,7 +154,7 @@
   if (liftedAt > 0 && crashes === 0) {
     return [note('quarantine-lifted', digest, {liftedAt})];
   }
-  return isInQuestion(standing)
+  return isSuspected(standing)
     ? [note('request-suspected', digest, {crashes, survived})]
     : [];
 }
--- a/packages/floor/src/permitHolder.ts
+++ b/packages/floor/src/permitHolder.ts
@@ -19,14 +19,14 @@
 }
 
 /** Configuration of the holder for one service. */
-export interface HolderView {
+export interface HolderSettings {
   readonly floorSlots: number;
   readonly settleMilliseconds: number;
   readonly upstreams: readonly RegisteredUpstream[];
 }
 
 /** After this long without a report, an upstream counts as unavailable. */
-export const REPORT_LIFE_MILLISECONDS = 6500;
+export const REPORT_LIFETIME_MILLISECONDS = 6500;
 
 /** If a larger share of upstreams is suspect, a shared cause is assumed. */
 const SHARED_CAUSE_SHARE = 0.34;
@@ -61,10 +61,10 @@
 
   constructor(
     readonly fence: Fence,
-    private settings: HolderView,
+    private settings: HolderSettings,
   ) {}
 
-  setView(settings: HolderView): void {
+  configure(settings: HolderSettings): void {
     this.settings = settings;
   }
 
@@ -232,7 +232,7 @@
   }
 
   private isFresh(now: number, guard: GuardState): boolean {
-    return now - guard.receivedAt <= REPORT_LIFE_MILLISECONDS;
+    return now - guard.receivedAt <= REPORT_LIFETIME_MILLISECONDS;
   }
 
   private registeredUpstream(name: string): RegisteredUpstream | undefined {
--- a/packages/node/src/connection/lookAtAddress.ts
+++ b/packages/node/src/connection/lookAtAddress.ts
@@ -2,7 +2,7 @@
 /** Checks whether a process listens on an address. */
 
 import {connect} from 'node:net';
-import type {Presence} from '@lockpin/quarantine';
+import type {AddressState} from '@lockpin/quarantine';
 import {parseAddress} from '@lockpin/utils';
 
 /**
@@ -20,7 +20,7 @@
 /** Opens a connection and closes it immediately. */
 export function lookAtAddress(
   address: string,
-  done: (state: Presence) => void,
+  done: (state: AddressState) => void,
 ): void {
   const parsed = parseAddress(address);
   if (parsed === undefined) {
@@ -29,7 +29,7 @@
   }
   const socket = connect(parsed);
   const timer = setTimeout(() => finish('unknown'), CHECK_TIMEOUT_MILLISECONDS);
-  function finish(state: Presence): void {
+  function finish(state: AddressState): void {
     clearTimeout(timer);
     socket.removeAllListeners();
     // Errors after the result are ignored.
@@ -37,7 +37,7 @@
     socket.destroy();
     done(state);
   }
-  socket.once('connect', () => finish('there'));
+  socket.once('connect', () => finish('listening'));
   socket.once('error', (error: NodeJS.ErrnoException) =>
     finish(error.code === REFUSED ? 'gone' : 'unknown'),
   );
--- a/packages/node/src/connection/upstreamPools.ts
+++ b/packages/node/src/connection/upstreamPools.ts
@@ -5,7 +5,7 @@
 import type {Socket} from 'node:net';
 import {Client, Pool} from 'undici';
 import type {buildConnector} from 'undici';
-import type {Presence} from '@lockpin/quarantine';
+import type {AddressState} from '@lockpin/quarantine';
 import type {Resource, UpstreamIncarnation} from '@lockpin/types';
 import {isSameIncarnation} from '@lockpin/utils';
 import {lookAtAddress} from './lookAtAddress.js';
@@ -67,7 +67,7 @@
   }
 
   /** Checks whether a process listens on the address of an upstream. */
-  lookAt(upstream: string, done: (state: Presence) => void): void {
+  lookAt(upstream: string, done: (state: AddressState) => void): void {
     const entry = this.pools.get(upstream);
     if (entry === undefined) {
       done('unknown');
--- a/packages/node/src/request/guardService.ts
+++ b/packages/node/src/request/guardService.ts
@@ -176,7 +176,7 @@
   }
 
   private perform(action: GuardAction): void {
-    if (action.kind === 'look-at-upstream') {
+    if (action.kind === 'check-upstream') {
       this.inspectUpstream(action);
       return;
     }
@@ -213,13 +213,13 @@
   private inspectUpstream({
     upstream,
     incarnation,
-  }: GuardAction & {readonly kind: 'look-at-upstream'}): void {
+  }: GuardAction & {readonly kind: 'check-upstream'}): void {
     this.dependencies.pools.lookAt(upstream, (presence) =>
       this.handle({
-        kind: 'upstream-looked-at',
+        kind: 'upstream-checked',
         upstream,
         incarnation,
-        presence,
+        addressState: presence,
       }),
     );
   }
--- a/packages/quarantine/src/__tests__/ownRuns.test.ts
+++ b/packages/quarantine/src/__tests__/ownRuns.test.ts
@@ -3,7 +3,7 @@
 
 import {describe, expect, it} from 'vitest';
 import {OwnRuns} from '../ownRuns.js';
-import {MOST_REPORTS, REPORT_LIFE_MILLISECONDS} from '../runReport.js';
+import {MAXIMUM_REPORTS, REPORT_LIFETIME_MILLISECONDS} from '../runReport.js';
 
 describe('OwnRuns', () => {
   it('reports each request that ran when the upstream crashed', () => {
@@ -27,8 +27,8 @@
   it('reports survived runs only for suspected requests', () => {
     const runs = new OwnRuns();
     expect(runs.survived(1, 'a', false)).toBe(false);
-    expect(runs.questioned(2, 'b')).toBe(false);
-    expect(runs.questioned(2, 'a')).toBe(true);
+    expect(runs.reportPastSurvival(2, 'b')).toBe(false);
+    expect(runs.reportPastSurvival(2, 'a')).toBe(true);
     expect(runs.reports).toEqual([{digest: 'a', at: 2, hasCrashed: false}]);
     const more = Array.from({length: 9}, (_, i) => runs.survived(i, 'a', true));
     expect(more.filter((isNews) => isNews)).toHaveLength(3);
@@ -39,9 +39,9 @@
     for (let i = 0; i < 40; i += 1) {
       runs.crashed(i, [`digest-${i}`]);
     }
-    expect(runs.reports).toHaveLength(MOST_REPORTS);
+    expect(runs.reports).toHaveLength(MAXIMUM_REPORTS);
     expect(runs.reports.at(-1)?.digest).toBe('digest-39');
-    runs.crashed(100 + REPORT_LIFE_MILLISECONDS, ['late']);
+    runs.crashed(100 + REPORT_LIFETIME_MILLISECONDS, ['late']);
     expect(runs.reports).toHaveLength(1);
   });
 
--- a/packages/quarantine/src/__tests__/quarantine.test.ts
+++ b/packages/quarantine/src/__tests__/quarantine.test.ts
@@ -8,7 +8,7 @@
   QUARANTINE_MILLISECONDS,
   Quarantine,
 } from '../quarantine.js';
-import {REPORT_LIFE_MILLISECONDS} from '../runReport.js';
+import {REPORT_LIFETIME_MILLISECONDS} from '../runReport.js';
 import type {RunReport} from '../runReport.js';
 
 const NOW = 1_000_000;
@@ -20,7 +20,7 @@
 function afterCrashes(count: number): Quarantine {
   const quarantine = new Quarantine();
   for (let i = 0; i < count; i += 1) {
-    quarantine.learn(NOW, `box-${i}`, [run('bad', NOW + i)]);
+    quarantine.addReports(NOW, `box-${i}`, [run('bad', NOW + i)]);
   }
   return quarantine;
 }
@@ -35,7 +35,7 @@
   it('counts a crash once, however often it is reported', () => {
     const quarantine = new Quarantine();
     for (let i = 0; i < 9; i += 1) {
-      quarantine.learn(NOW, 'box', [run('bad', NOW)]);
+      quarantine.addReports(NOW, 'box', [run('bad', NOW)]);
     }
     expect(quarantine.remaining(NOW, 'bad')).toBe(0);
   });
@@ -44,32 +44,32 @@
     const quarantine = afterCrashes(CRASHES_TO_QUARANTINE);
     const over = NOW + QUARANTINE_MILLISECONDS + 10;
     expect(quarantine.remaining(over, 'bad')).toBe(0);
-    quarantine.learn(over, 'box-0', [run('bad', over)]);
+    quarantine.addReports(over, 'box-0', [run('bad', over)]);
     expect(quarantine.remaining(over, 'bad')).toBe(QUARANTINE_MILLISECONDS);
   });
 
   it('does not quarantine a request that was survived as often', () => {
     const quarantine = afterCrashes(3);
     for (let i = 0; i < 3; i += 1) {
-      quarantine.learn(NOW, `other-${i}`, [run('bad', NOW + i, false)]);
+      quarantine.addReports(NOW, `other-${i}`, [run('bad', NOW + i, false)]);
     }
     expect(quarantine.remaining(NOW, 'bad')).toBe(0);
   });
 
   it('ignores reports older than a day and limits clocks that are ahead', () => {
     const quarantine = new Quarantine();
-    const old = NOW - REPORT_LIFE_MILLISECONDS - 1;
-    const ahead = NOW + 100 * REPORT_LIFE_MILLISECONDS;
-    quarantine.learn(NOW, 'a', [run('bad', old)]);
-    quarantine.learn(NOW, 'b', [run('bad', ahead), run('bad', ahead + 1)]);
-    quarantine.learn(NOW, 'c', [run('bad', NOW)]);
+    const old = NOW - REPORT_LIFETIME_MILLISECONDS - 1;
+    const ahead = NOW + 100 * REPORT_LIFETIME_MILLISECONDS;
+    quarantine.addReports(NOW, 'a', [run('bad', old)]);
+    quarantine.addReports(NOW, 'b', [run('bad', ahead), run('bad', ahead + 1)]);
+    quarantine.addReports(NOW, 'c', [run('bad', NOW)]);
     expect(quarantine.remaining(NOW, 'bad')).toBe(QUARANTINE_MILLISECONDS);
   });
 
   it('keeps a bounded number of suspects', () => {
     const quarantine = new Quarantine();
     for (let i = 0; i < 5000; i += 1) {
-      quarantine.learn(NOW, 'box', [run(`digest-${i}`, NOW)]);
+      quarantine.addReports(NOW, 'box', [run(`digest-${i}`, NOW)]);
     }
     expect(quarantine.size).toBe(1000);
   });
@@ -92,10 +92,10 @@
           ];
           const [here, there] = [new Quarantine(), new Quarantine()];
           for (const {box, at, hasCrashed} of reported) {
-            here.learn(NOW, box, [run('x', at, hasCrashed)]);
+            here.addReports(NOW, box, [run('x', at, hasCrashed)]);
           }
           for (const {box, at, hasCrashed} of rotated) {
-            there.learn(NOW, box, [run('x', at, hasCrashed)]);
+            there.addReports(NOW, box, [run('x', at, hasCrashed)]);
           }
           expect(here.remaining(NOW, 'x')).toBe(there.remaining(NOW, 'x'));
         },
--- a/packages/quarantine/src/__tests__/quarantineLift.test.ts
+++ b/packages/quarantine/src/__tests__/quarantineLift.test.ts
@@ -4,9 +4,9 @@
 import fc from 'fast-check';
 import {describe, expect, it} from 'vitest';
 import {QUARANTINE_MILLISECONDS, Quarantine} from '../quarantine.js';
-import {MOST_LIFTS, OwnLifts} from '../quarantineLift.js';
+import {MAXIMUM_LIFTS, OwnLifts} from '../quarantineLift.js';
 import type {QuarantineLift} from '../quarantineLift.js';
-import {REPORT_LIFE_MILLISECONDS} from '../runReport.js';
+import {REPORT_LIFETIME_MILLISECONDS} from '../runReport.js';
 import type {RunReport} from '../runReport.js';
 
 const NOW = 1_000_000;
@@ -21,14 +21,19 @@
   program?: string,
 ): Quarantine {
   for (let i = 0; i < 3; i += 1) {
-    quarantine.learn(NOW, `box-${i}`, [crash(NOW - 3 + i, program)], 'shop');
+    quarantine.addReports(
+      NOW,
+      `box-${i}`,
+      [crash(NOW - 3 + i, program)],
+      'shop',
+    );
   }
   return quarantine;
 }
 
 describe('a quarantine', () => {
   it('is listed with its service, crashes, boxes and times', () => {
-    expect(quarantined().all(NOW)).toEqual([
+    expect(quarantined().quarantinedRequests(NOW)).toEqual([
       {
         digest: 'bad',
         services: ['shop'],
@@ -39,18 +44,20 @@
         until: NOW - 1 + QUARANTINE_MILLISECONDS,
       },
     ]);
-    expect(quarantined().all(NOW + QUARANTINE_MILLISECONDS)).toEqual([]);
+    expect(
+      quarantined().quarantinedRequests(NOW + QUARANTINE_MILLISECONDS),
+    ).toEqual([]);
   });
 
   it('ends when lifted, and begins again after three more crashes', () => {
     const quarantine = quarantined();
     const lift = quarantine.lift(NOW, 'bad') as QuarantineLift;
-    quarantine.learnLifts(NOW, [lift]);
+    quarantine.addLifts(NOW, [lift]);
     expect(quarantine.remaining(NOW, 'bad')).toBe(0);
-    expect(quarantine.all(NOW)).toEqual([]);
-    quarantine.learn(NOW + 2, 'box-1', [crash(NOW + 1), crash(NOW + 2)]);
+    expect(quarantine.quarantinedRequests(NOW)).toEqual([]);
+    quarantine.addReports(NOW + 2, 'box-1', [crash(NOW + 1), crash(NOW + 2)]);
     expect(quarantine.remaining(NOW + 3, 'bad')).toBe(0);
-    quarantine.learn(NOW + 3, 'box-2', [crash(NOW + 3)]);
+    quarantine.addReports(NOW + 3, 'box-2', [crash(NOW + 3)]);
     expect(quarantine.remaining(NOW + 3, 'bad')).toBeGreaterThan(0);
   });
 
@@ -64,10 +71,10 @@
   it('can be lifted when the clocks of reporting boxes are ahead', () => {
     const quarantine = new Quarantine();
     for (let i = 0; i < 3; i += 1) {
-      quarantine.learn(NOW + 10, `box-${i}`, [crash(NOW + 5 + i)]);
+      quarantine.addReports(NOW + 10, `box-${i}`, [crash(NOW + 5 + i)]);
     }
     const lift = quarantine.lift(NOW, 'bad') as QuarantineLift;
-    quarantine.learnLifts(NOW + 10, [lift]);
+    quarantine.addLifts(NOW + 10, [lift]);
     expect(quarantine.remaining(NOW + 10, 'bad')).toBe(0);
   });
 
@@ -75,13 +82,13 @@
     const reports = [0, 1, 2, 3, 4].map((i) => crash(NOW - 9 + i));
     const steps = [
       ...reports.map((report, i) => (quarantine: Quarantine) => {
-        quarantine.learn(NOW, `box-${i}`, [report]);
+        quarantine.addReports(NOW, `box-${i}`, [report]);
       }),
       (quarantine: Quarantine) => {
-        quarantine.learnLifts(NOW, [{digest: 'bad', at: NOW - 8}]);
+        quarantine.addLifts(NOW, [{digest: 'bad', at: NOW - 8}]);
       },
       (quarantine: Quarantine) => {
-        quarantine.learnLifts(NOW, [{digest: 'bad', at: NOW - 20}]);
+        quarantine.addLifts(NOW, [{digest: 'bad', at: NOW - 20}]);
       },
     ];
     fc.assert(
@@ -90,7 +97,7 @@
         (order) => {
           const quarantine = new Quarantine();
           order.forEach((step) => step(quarantine));
-          expect(quarantine.all(NOW)).toMatchObject([
+          expect(quarantine.quarantinedRequests(NOW)).toMatchObject([
             {
               crashes: 3,
               since: NOW - 5,
@@ -114,7 +121,7 @@
     expect(quarantine.remaining(NOW, 'bad')).toBeGreaterThan(0);
     running.delete('v1');
     expect(quarantine.remaining(NOW, 'bad')).toBe(0);
-    quarantine.learn(NOW, 'box-9', [crash(NOW, 'v2')]);
+    quarantine.addReports(NOW, 'box-9', [crash(NOW, 'v2')]);
     expect(quarantine.remaining(NOW, 'bad')).toBe(QUARANTINE_MILLISECONDS);
   });
 
@@ -142,8 +149,8 @@
       at: 100 + i,
     }));
     lifts.add(NOW, many);
-    expect(lifts.all).toEqual(many.slice(-MOST_LIFTS));
-    lifts.add(NOW + 2 * REPORT_LIFE_MILLISECONDS, []);
+    expect(lifts.all).toEqual(many.slice(-MAXIMUM_LIFTS));
+    lifts.add(NOW + 2 * REPORT_LIFETIME_MILLISECONDS, []);
     expect(lifts.all).toEqual([]);
   });
 });
--- a/packages/quarantine/src/crashWatch.ts
+++ b/packages/quarantine/src/crashDetector.ts
@@ -6,9 +6,9 @@
  */
 
 /** Result of a connection check on the address of an upstream. */
-export type Presence =
+export type AddressState =
   /** A connection was established. */
-  | 'there'
+  | 'listening'
   /** Nothing listens at the address. */
   | 'gone'
   /** No answer in time, for example because the box is suspended. */
@@ -34,7 +34,7 @@
 }
 
 /** Detects the end of one process of an upstream. */
-export class CrashWatch {
+export class CrashDetector {
   private broken: readonly BrokenCall[] = [];
   private isChecking = false;
   private checkBeganAt = 0;
@@ -45,7 +45,7 @@
    * Records that a call broke after it was sent. Returns its digest if the
    * process is already known to have ended.
    */
-  broke(now: number, digest: string): readonly string[] {
+  callBroke(now: number, digest: string): readonly string[] {
     if (this.isGone) {
       return [digest];
     }
@@ -54,7 +54,7 @@
   }
 
   /** Whether a check is due now; if so, it counts as begun. */
-  beginLook(now: number): boolean {
+  beginCheck(now: number): boolean {
     this.broken = this.recent(now);
     const isDue =
       this.broken.length > 0 && !this.isChecking && now >= this.nextCheckAt;
@@ -66,10 +66,10 @@
   }
 
   /** Records a check; returns the calls that broke with the process. */
-  looked(now: number, presence: Presence): readonly string[] {
+  checkFinished(now: number, addressState: AddressState): readonly string[] {
     this.isChecking = false;
     this.nextCheckAt = now + CHECK_INTERVAL_MILLISECONDS;
-    this.isGone ||= presence === 'gone';
+    this.isGone ||= addressState === 'gone';
     const {broken} = this;
     // Calls that broke after the check began may still be due to an end.
     this.broken = this.isGone
--- a/packages/quarantine/src/ownRuns.ts
+++ b/packages/quarantine/src/ownRuns.ts
@@ -3,8 +3,8 @@
 
 import type {QuarantineLift} from './quarantineLift.js';
 import {
-  MOST_REPORTS,
-  REPORT_LIFE_MILLISECONDS,
+  MAXIMUM_REPORTS,
+  REPORT_LIFETIME_MILLISECONDS,
   areSameReports,
 } from './runReport.js';
 import type {RunReport} from './runReport.js';
@@ -61,7 +61,7 @@
   }
 
   /** Reports a survival if the request has one here; true if one was added. */
-  questioned(now: number, digest: string): boolean {
+  reportPastSurvival(now: number, digest: string): boolean {
     return this.survivalCounts.has(digest) && this.addSurvival(now, digest);
   }
 
@@ -133,8 +133,8 @@
   reports: readonly RunReport[],
 ): readonly RunReport[] {
   return reports
-    .filter(({at}) => now - at <= REPORT_LIFE_MILLISECONDS)
-    .slice(-MOST_REPORTS);
+    .filter(({at}) => now - at <= REPORT_LIFETIME_MILLISECONDS)
+    .slice(-MAXIMUM_REPORTS);
 }
 
 function reportIdentity({digest, at, hasCrashed}: RunReport): string {
--- a/packages/quarantine/src/quarantine.ts
+++ b/packages/quarantine/src/quarantine.ts
@@ -7,7 +7,7 @@
  */
 
 import type {QuarantineLift} from './quarantineLift.js';
-import {REPORT_LIFE_MILLISECONDS, reportKey} from './runReport.js';
+import {REPORT_LIFETIME_MILLISECONDS, reportKey} from './runReport.js';
 import type {RunReport} from './runReport.js';
 
 /**
@@ -89,8 +89,8 @@
   }
 
   /** Whether reports of survived runs of the request are needed. */
-  wantsSurvivals(digest: string): boolean {
-    return isInQuestion(this.suspects.get(digest)?.standing);
+  needsSurvivalReports(digest: string): boolean {
+    return isSuspected(this.suspects.get(digest)?.standing);
   }
 
   /** Remaining quarantine of a request in milliseconds; 0 if it may run. */
@@ -105,7 +105,7 @@
   }
 
   /** All requests that are quarantined now. */
-  all(now: number): readonly QuarantinedRequest[] {
+  quarantinedRequests(now: number): readonly QuarantinedRequest[] {
     return [...this.suspects.keys()]
       .filter((digest) => this.remaining(now, digest) > 0)
       .flatMap((digest) => {
@@ -125,7 +125,7 @@
   }
 
   /** Adds the reports of a box; returns the suspects that have new reports. */
-  learn(
+  addReports(
     now: number,
     box: string,
     reports: readonly RunReport[],
@@ -141,7 +141,7 @@
   }
 
   /** Adds lifts from a box; returns the suspects that they change. */
-  learnLifts(
+  addLifts(
     now: number,
     lifts: readonly QuarantineLift[],
   ): readonly SuspectStanding[] {
@@ -171,7 +171,7 @@
 
   private addReport(now: number, report: ReceivedReport): boolean {
     const {digest, box} = report;
-    if (now - report.at > REPORT_LIFE_MILLISECONDS) {
+    if (now - report.at > REPORT_LIFETIME_MILLISECONDS) {
       return false;
     }
     const suspect = this.suspects.get(digest) ?? this.addSuspect(digest);
@@ -213,7 +213,7 @@
  * Whether a request is at most one crash short of a quarantine. A single crash
  * is weak evidence, and most suspects with one crash are never reported again.
  */
-export function isInQuestion(standing: SuspectStanding | undefined): boolean {
+export function isSuspected(standing: SuspectStanding | undefined): boolean {
   return (standing?.crashes ?? 0) >= CRASHES_TO_QUARANTINE - 1;
 }
 
@@ -224,7 +224,7 @@
 ): readonly ReceivedReport[] {
   const newest = Math.max(...reports.map(({at}) => at));
   return reports.filter(
-    ({at}) => at > liftedAt && newest - at <= REPORT_LIFE_MILLISECONDS,
+    ({at}) => at > liftedAt && newest - at <= REPORT_LIFETIME_MILLISECONDS,
   );
 }
 
--- a/packages/quarantine/src/quarantineLift.ts
+++ b/packages/quarantine/src/quarantineLift.ts
@@ -1,7 +1,7 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
 /** Lifts of quarantines, by which operators void past runs of a request. */
 
-import {REPORT_LIFE_MILLISECONDS} from './runReport.js';
+import {REPORT_LIFETIME_MILLISECONDS} from './runReport.js';
 
 /** The lift of the quarantine of one request. */
 export interface QuarantineLift {
@@ -14,7 +14,7 @@
  * Maximum number of lifts that a box publishes, the newest ones. Further lifts
  * can be made through other boxes.
  */
-export const MOST_LIFTS = 32;
+export const MAXIMUM_LIFTS = 32;
 
 /** Lifts made on one box, the newest of each request. */
 export class OwnLifts {
@@ -40,8 +40,8 @@
       }
     }
     this.published = [...newest.values()]
-      .filter(({at}) => now - at <= REPORT_LIFE_MILLISECONDS)
-      .slice(-MOST_LIFTS);
+      .filter(({at}) => now - at <= REPORT_LIFETIME_MILLISECONDS)
+      .slice(-MAXIMUM_LIFTS);
     return !areSameLifts(before, this.published);
   }
 }
--- a/packages/quarantine/src/runReport.ts
+++ b/packages/quarantine/src/runReport.ts
@@ -18,10 +18,10 @@
  * of an upstream with four slots fill the list; by then all boxes have received
  * the first reports.
  */
-export const MOST_REPORTS = 16;
+export const MAXIMUM_REPORTS = 16;
 
 /** Reports count for a day, since most callers repeat a request soon. */
-export const REPORT_LIFE_MILLISECONDS = 24 * 60 * 60 * 1000;
+export const REPORT_LIFETIME_MILLISECONDS = 24 * 60 * 60 * 1000;
 
 /** Identifies a report among all reports on its request. */
 export function reportKey(box: string, {at, hasCrashed}: RunReport): string {
--- a/packages/tools/src/measure/falseAlarms.ts
+++ b/packages/tools/src/measure/falseAlarms.ts
@@ -64,7 +64,7 @@
       milliseconds,
     });
     baseline += fiveInARow.observe(now, 0, failed) ? 1 : 0;
-    detector.closeSpan(now, NOTHING_OVERDUE);
+    detector.closeWindow(now, NOTHING_OVERDUE);
     if (detector.verdict(now).condemned) {
       lockpin += 1;
       detector.reset();
