--- a/packages/brain/src/__tests__/__fixtures__/controlWorld.ts
+++ b/packages/brain/src/__tests__/__fixtures__/controlWorld.ts
@@ -4,8 +4,8 @@
 import {makeIncarnation} from '@lockpin/once';
 import {seededRandom} from '@lockpin/utils';
 import type {ChangeRecord} from '@lockpin/types';
-import {ControlBrain} from '../../control/controlBrain.js';
-import type {ControlSettings} from '../../control/controlBrain.js';
+import {ControlStateMachine} from '../../control/controlStateMachine.js';
+import type {ControlSettings} from '../../control/controlStateMachine.js';
 import type {
   AppendResult,
   ChangeSettlement,
@@ -40,7 +40,7 @@
 export interface WorldNode {
   readonly box: string;
   readonly dataCentre: string;
-  brain: ControlBrain;
+  brain: ControlStateMachine;
   isUp: boolean;
   readonly timeline: string[];
 }
@@ -126,7 +126,7 @@
       author: 'test',
       writes: [{operation: 'put', kind: 'Customer', name, basedOn, spec: {}}],
     };
-    this.handleEvent(node, {kind: 'change-offered', change});
+    this.handleEvent(node, {kind: 'change-submitted', change});
   }
 
   /** Advances the clock. */
@@ -159,7 +159,7 @@
       .filter(({isUp}) => isUp)
       .every(
         ({brain: stateMachine}) =>
-          stateMachine.isReady && stateMachine.keeper.version >= version,
+          stateMachine.isReady && stateMachine.replica.version >= version,
       );
   }
 
@@ -168,13 +168,16 @@
     return new Set(
       up.map(
         ({brain: stateMachine}) =>
-          `${stateMachine.keeper.version} ${stateMachine.keeper.state.digest}`,
+          `${stateMachine.replica.version} ${stateMachine.replica.state.digest}`,
       ),
     );
   }
 
-  private createStateMachine(box: string, dataCentre: string): ControlBrain {
-    return new ControlBrain(
+  private createStateMachine(
+    box: string,
+    dataCentre: string,
+  ): ControlStateMachine {
+    return new ControlStateMachine(
       {
         box,
         dataCentre,
@@ -192,7 +195,10 @@
     this.queue.push({at: this.now + delay, order: this.order, run});
   }
 
-  private tickPeriodically(node: WorldNode, stateMachine: ControlBrain): void {
+  private tickPeriodically(
+    node: WorldNode,
+    stateMachine: ControlStateMachine,
+  ): void {
     if (node.brain !== stateMachine || !node.isUp) {
       return;
     }
--- a/packages/brain/src/__tests__/changeFaults.test.ts
+++ b/packages/brain/src/__tests__/changeFaults.test.ts
@@ -141,7 +141,7 @@
       : `customer-${changeId}`;
     const isPresent = simulation.nodes.map(
       ({brain: stateMachine}) =>
-        stateMachine.keeper.state.get('Customer', name) !== undefined,
+        stateMachine.replica.state.get('Customer', name) !== undefined,
     );
     const isAccepted =
       settlement.kind === 'outcome' && settlement.outcome.kind === 'accepted';
@@ -208,7 +208,7 @@
       simulation.log.isAway = true;
       simulation.run(10_000);
       if (restarted.brain.isReady) {
-        expect(restarted.brain.keeper.version).toBe(3);
+        expect(restarted.brain.replica.version).toBe(3);
       }
     }
   });
--- a/packages/brain/src/__tests__/configurationSpreads.test.ts
+++ b/packages/brain/src/__tests__/configurationSpreads.test.ts
@@ -127,7 +127,7 @@
     simulation.log.isAway = true;
     const node = simulation.start('box-4', 'data-centre-0');
     expect(simulation.runUntil(() => node.brain.isReady)).toBe(true);
-    expect(node.brain.keeper.version).toBe(3);
+    expect(node.brain.replica.version).toBe(3);
     expect(simulation.digests().size).toBe(1);
   });
 
@@ -151,13 +151,13 @@
     expect(
       simulation.nodes
         .filter(({box}) => !isLagging(box))
-        .every(({brain: stateMachine}) => stateMachine.keeper.version === 2),
+        .every(({brain: stateMachine}) => stateMachine.replica.version === 2),
     ).toBe(true);
     simulation.log.isAway = true;
     simulation.reaches = () => true;
     const node = simulation.start('box-2', 'data-centre-0');
     expect(simulation.runUntil(() => node.brain.isReady)).toBe(true);
-    expect(node.brain.keeper.version).toBe(2);
+    expect(node.brain.replica.version).toBe(2);
   });
 
   it('starts from a snapshot when the log has forgotten the first records', () => {
--- a/packages/brain/src/__tests__/restoredLog.test.ts
+++ b/packages/brain/src/__tests__/restoredLog.test.ts
@@ -51,7 +51,7 @@
   return simulation.nodes
     .filter(({isUp}) => isUp)
     .every(({brain: stateMachine}) => {
-      const {state} = stateMachine.keeper;
+      const {state} = stateMachine.replica;
       return (
         stateMachine.isReady &&
         Array.from({length: to - from}, (_, i) => `customer-${from + i}`).every(
@@ -225,7 +225,7 @@
     simulation.nodes.every(({brain: stateMachine}) => stateMachine.isReady);
   const found = simulation.runUntil(hasAgreed, 90_000) ? [] : ['no agreement'];
   const events = new Set(simulation.nodes.flatMap(({timeline}) => timeline));
-  const {state} = nodeAt(simulation, 0).brain.keeper;
+  const {state} = nodeAt(simulation, 0).brain.replica;
   const lost = [...simulation.settlements].filter(
     ([changeId, settlement]) =>
       settlement.kind === 'outcome' &&
--- a/packages/brain/src/control/publisher.ts
+++ b/packages/brain/src/control/changePublisher.ts
@@ -30,7 +30,7 @@
  * the change appears; it is never appended again, since the first append may
  * have taken effect.
  */
-export class Publisher {
+export class ChangePublisher {
   private readonly pending = new Map<string, PendingChange>();
 
   /** Whether a change submitted here is yet to be read back. */
@@ -38,7 +38,7 @@
     return this.pending.size > 0;
   }
 
-  offer(
+  submit(
     now: number,
     state: ConfigurationState,
     change: ChangeRecord,
--- a/packages/brain/src/control/configurationKeeper.ts
+++ b/packages/brain/src/control/configurationReplica.ts
@@ -11,16 +11,16 @@
 import type {Era, LogRecord} from '@lockpin/types';
 import type {PeerReply} from './controlMessages.js';
 import {RecordBuffer} from './recordBuffer.js';
-import {SnapshotShelf} from './snapshotShelf.js';
+import {SnapshotAssembler} from './snapshotAssembler.js';
 
 /** Limit of the records in one reply to a peer. */
 const RECORDS_PER_REPLY = 500;
 
 /** Folds records in order, from whichever source they come. */
-export class ConfigurationKeeper {
+export class ConfigurationReplica {
   state = new ConfigurationState();
   history = new ChangeHistory();
-  shelf = new SnapshotShelf();
+  snapshots = new SnapshotAssembler();
   /** Era of the log that the state was folded from; undefined before any. */
   era: Era | undefined;
   private buffer = new RecordBuffer();
@@ -48,12 +48,12 @@
 
   /** Adopts the newest complete snapshot if it is newer than the state. */
   adoptSnapshot(): 'adopted' | 'older' | 'corrupt' {
-    if (this.shelf.version <= this.state.version) {
+    if (this.snapshots.version <= this.state.version) {
       return 'older';
     }
-    const decoded = decodeSnapshot(this.shelf.chunks);
+    const decoded = decodeSnapshot(this.snapshots.chunks);
     if (!decoded.ok) {
-      this.shelf.discard();
+      this.snapshots.discard();
       return 'corrupt';
     }
     this.state = decoded.value;
@@ -63,29 +63,29 @@
   }
 
   /** The latest records that led to this state. */
-  rememberedRecords(): readonly LogRecord<unknown>[] {
+  bufferedRecords(): readonly LogRecord<unknown>[] {
     return this.buffer.all();
   }
 
   /** Whether a state of this version and digest equals this one. */
-  isSameAs(version: number, digest: string): boolean {
+  matches(version: number, digest: string): boolean {
     return version === this.version && digest === this.state.digest;
   }
 
   /** Replaces this history; watches continue if the state is the same. */
-  replaceBy(rebuilt: ConfigurationKeeper): void {
-    const isSame = this.isSameAs(rebuilt.version, rebuilt.state.digest);
+  replaceWith(rebuilt: ConfigurationReplica): void {
+    const isSame = this.matches(rebuilt.version, rebuilt.state.digest);
     if (!isSame) {
       this.state = rebuilt.state;
       this.history = new ChangeHistory(rebuilt.version);
     }
     this.era = rebuilt.era;
-    this.shelf = rebuilt.shelf;
+    this.snapshots = rebuilt.snapshots;
     this.buffer = rebuilt.buffer;
   }
 
   /** The records that a peer at a version lacks, or a snapshot instead. */
-  recordsFor(version: number): {
+  recordsSince(version: number): {
     readonly records: readonly LogRecord<unknown>[];
     readonly snapshot: SnapshotChunk | undefined;
   } {
@@ -93,10 +93,10 @@
     if (records !== undefined) {
       return {records, snapshot: undefined};
     }
-    return {records: [], snapshot: this.shelf.chunks[0]};
+    return {records: [], snapshot: this.snapshots.chunks[0]};
   }
 
   chunkReply(writer: string, index: number): PeerReply {
-    return {kind: 'snapshot-chunk', chunk: this.shelf.chunk(writer, index)};
+    return {kind: 'snapshot-chunk', chunk: this.snapshots.chunk(writer, index)};
   }
 }
--- a/packages/brain/src/control/controlMessages.ts
+++ b/packages/brain/src/control/controlMessages.ts
@@ -129,7 +129,7 @@
       /** Undefined when the peer did not answer. */
       readonly reply: PeerReply | undefined;
     }
-  | {readonly kind: 'change-offered'; readonly change: ChangeRecord}
+  | {readonly kind: 'change-submitted'; readonly change: ChangeRecord}
   | {
       readonly kind: 'guard-reported';
       readonly service: string;
--- a/packages/brain/src/control/controlBrain.ts
+++ b/packages/brain/src/control/controlStateMachine.ts
@@ -11,7 +11,7 @@
 } from '@lockpin/membership';
 import type {RandomSource} from '@lockpin/types';
 import {HybridClock} from '@lockpin/utils';
-import {ConfigurationKeeper} from './configurationKeeper.js';
+import {ConfigurationReplica} from './configurationReplica.js';
 import type {
   ControlAction,
   ControlEvent,
@@ -24,17 +24,17 @@
 import {LogFollower} from './logFollower.js';
 import {LogRestore} from './logRestore.js';
 import {PEERS_ASKED_AT_START, PeerPuller} from './peerPuller.js';
-import {PeerServing} from './peerServing.js';
-import {PulledRecords} from './pulledRecords.js';
-import {Publisher} from './publisher.js';
+import {PeerRequestHandler} from './peerRequestHandler.js';
+import {PullResultHandler} from './pullResultHandler.js';
+import {ChangePublisher} from './changePublisher.js';
 import {ReportRouter} from './reportRouter.js';
-import {RestoreKeeper} from './restoreKeeper.js';
+import {RestoreCoordinator} from './restoreCoordinator.js';
 import {SnapshotWriter} from './snapshotWriter.js';
 import type {SnapshotSettings} from './snapshotWriter.js';
 import {startPhase} from './startPhase.js';
 import type {StartPhase} from './startPhase.js';
 import {timelineAction} from './timelineAction.js';
-import {VersionNews} from './versionNews.js';
+import {VersionAnnouncer} from './versionAnnouncer.js';
 
 /** Settings of the control plane. */
 export interface ControlSettings {
@@ -47,20 +47,20 @@
 };
 
 /** A state machine whose actions depend only on (now, random, event). */
-export class ControlBrain {
+export class ControlStateMachine {
   readonly membership: Membership;
-  readonly keeper = new ConfigurationKeeper();
+  readonly replica = new ConfigurationReplica();
   readonly holders: HolderRole;
   readonly clock = new HybridClock();
-  readonly news: VersionNews;
-  private readonly changePublisher = new Publisher();
+  readonly news: VersionAnnouncer;
+  private readonly changePublisher = new ChangePublisher();
   private readonly puller: PeerPuller;
   private readonly snapshotWriter: SnapshotWriter;
   private readonly follower: LogFollower;
   private readonly reportRouter: ReportRouter;
-  private readonly requestHandler: PeerServing;
-  private readonly pullResults: PulledRecords;
-  readonly restores: RestoreKeeper;
+  private readonly requestHandler: PeerRequestHandler;
+  private readonly pullResults: PullResultHandler;
+  readonly restores: RestoreCoordinator;
   private phase: StartPhase = 'asking-peers';
   private startedAt: number | undefined;
   private isReader = true;
@@ -70,7 +70,7 @@
     identity: MemberIdentity,
     settings: ControlSettings = DEFAULT_CONTROL_SETTINGS,
   ) {
-    const {keeper: replica} = this;
+    const {replica} = this;
     this.membership = new Membership(identity);
     this.holders = new HolderRole(this.membership);
     this.puller = new PeerPuller(this.membership, replica, this.holders);
@@ -79,34 +79,38 @@
       settings.snapshots,
     );
     this.reportRouter = new ReportRouter(identity.box, replica, this.holders);
-    this.requestHandler = new PeerServing(
+    this.requestHandler = new PeerRequestHandler(
       this.membership,
       replica,
       this.holders,
     );
-    this.news = new VersionNews(this.membership, replica, (now) =>
+    this.news = new VersionAnnouncer(this.membership, replica, (now) =>
       this.context(now),
     );
-    this.restores = new RestoreKeeper({
+    this.restores = new RestoreCoordinator({
       membership: this.membership,
-      keeper: replica,
+      replica,
       isReader: () => this.isReader,
     });
     this.follower = new LogFollower({
       box: identity.box,
       restores: this.restores,
-      keeper: replica,
+      replica,
       holders: this.holders,
       writer: this.snapshotWriter,
       isReader: () => this.isReader,
-      isAwaiting: () => this.changePublisher.isWaiting,
+      isAwaitingChange: () => this.changePublisher.isWaiting,
       isReady: () => this.isReady,
       onFolded: (now, random) => [
-        ...this.news.tellOfVersion(now, random),
+        ...this.news.announceVersion(now, random),
         ...this.reviewChanges(now),
       ],
     });
-    this.pullResults = new PulledRecords(replica, this.holders, this.follower);
+    this.pullResults = new PullResultHandler(
+      replica,
+      this.holders,
+      this.follower,
+    );
   }
 
   get isReady(): boolean {
@@ -130,18 +134,18 @@
       case 'append-ended':
         return this.appendEnded(now, event);
       case 'exchange-received':
-        return [this.requestHandler.serve(now, event.token, event.request)];
+        return [this.requestHandler.handle(now, event.token, event.request)];
       case 'exchange-ended':
         return this.exchangeEnded(now, random, event.token, event.reply);
-      case 'change-offered':
-        return this.changePublisher.offer(
+      case 'change-submitted':
+        return this.changePublisher.submit(
           now,
-          this.keeper.state,
+          this.replica.state,
           event.change,
           this.restores.isPending,
         );
       case 'guard-reported':
-        return this.reportRouter.reported(now, event.service, event.reports);
+        return this.reportRouter.route(now, event.service, event.reports);
       case 'watchers-counted':
         return this.news.watchersCounted(now, random, event.count > 0);
       case 'leaving':
@@ -151,7 +155,7 @@
 
   private tick(now: number, random: RandomSource): readonly ControlAction[] {
     this.startedAt ??= now;
-    const {state} = this.keeper;
+    const {state} = this.replica;
     const context = this.context(now);
     this.updateReaderRole();
     const probes = this.membership.tick(now, random, context);
@@ -167,7 +171,7 @@
   }
 
   private writeSnapshot(now: number): readonly ControlAction[] {
-    const {state, era = 0} = this.keeper;
+    const {state, era = 0} = this.replica;
     return this.follower.mayWriteSnapshots
       ? this.snapshotWriter.tick(now, state, era)
       : [];
@@ -190,7 +194,7 @@
       now,
       startedAt: this.startedAt ?? now,
       peersAnswered: this.puller.answered.size,
-      peersWanted: Math.min(
+      peersRequired: Math.min(
         PEERS_ASKED_AT_START,
         Math.max(1, this.membership.reachable().length),
       ),
@@ -199,12 +203,12 @@
       snapshotReadFailures: snapshots.failureCount,
       logReadToTail: configuration.hasReachedTail,
       logReadFailures: configuration.failureCount,
-      version: this.keeper.version,
+      version: this.replica.version,
     });
     if (!this.isReady) {
       return [];
     }
-    const {version, state} = this.keeper;
+    const {version, state} = this.replica;
     const detail = {version, digest: state.digest};
     return [{kind: 'ready'}, timelineAction('node-ready', this.ownBox, detail)];
   }
@@ -223,7 +227,7 @@
 
   private reviewChanges(now: number): readonly ControlAction[] {
     const {isPending} = this.restores;
-    return this.changePublisher.review(now, this.keeper.state, isPending);
+    return this.changePublisher.review(now, this.replica.state, isPending);
   }
 
   private appendEnded(
@@ -233,7 +237,7 @@
     const {token, result} = event;
     const {readers} = this.follower;
     if (result.kind === 'confirmed') {
-      this.follower.isOutdated(now, result.era);
+      this.follower.observeEra(now, result.era);
     }
     if (LogRestore.owns(token)) {
       this.restores.current?.appendEnded(now, token, result);
@@ -243,10 +247,10 @@
       return this.snapshotWriter.appendEnded(result.kind === 'confirmed');
     }
     if (token.startsWith('holder ')) {
-      readers.holders.hurry(now);
+      readers.holders.readSoon(now);
       return [];
     }
-    readers.configuration.hurry(now);
+    readers.configuration.readSoon(now);
     return this.changePublisher.appendEnded(now, token, result);
   }
 
@@ -257,15 +261,15 @@
     reply: PeerReply | undefined,
   ): readonly ControlAction[] {
     if (this.reportRouter.owns(token)) {
-      return this.reportRouter.ended(token, reply);
+      return this.reportRouter.exchangeEnded(token, reply);
     }
     if (!this.puller.owns(token)) {
       return [];
     }
-    const handled = this.pullResults.take(
+    const handled = this.pullResults.handle(
       now,
       random,
-      this.puller.ended(now, reply),
+      this.puller.exchangeEnded(now, reply),
     );
     return [...handled, ...this.pull(now, random)];
   }
@@ -281,15 +285,15 @@
     datagram: Datagram,
   ): readonly ControlAction[] {
     this.clock.receive(now, datagram.time);
-    this.puller.heardOf(datagram.from, datagram);
-    const restored = this.restores.peerHeard(now, random, datagram);
+    this.puller.observeHeader(datagram.from, datagram);
+    const restored = this.restores.observePeer(now, random, datagram);
     const context = this.context(now);
     const actions = this.membership.receive(now, datagram, context);
     return [
       ...restored,
       ...this.compareDigest(now, datagram),
       ...this.membershipActions(now, actions),
-      ...this.news.received(datagram),
+      ...this.news.datagramReceived(datagram),
       ...this.pull(now, random),
     ];
   }
@@ -299,14 +303,14 @@
     now: number,
     {era, version, digest}: Datagram,
   ): readonly ControlAction[] {
-    const {keeper: replica} = this;
+    const {replica} = this;
     const differs =
       this.isReady &&
       era === replica.era &&
       version === replica.version &&
       digest !== replica.state.digest;
     if (differs) {
-      this.restores.foldAnew(now);
+      this.restores.rebuildState(now);
     }
     return [];
   }
@@ -320,7 +324,7 @@
       .map(memberFromList);
     return this.membershipActions(
       now,
-      this.membership.learn(now, unknownMembers),
+      this.membership.mergeMembers(now, unknownMembers),
     );
   }
 
@@ -354,10 +358,10 @@
   }
 
   private context(now: number): MembershipContext {
-    const {version, state} = this.keeper;
+    const {version, state} = this.replica;
     const {digest} = state;
     const holders = this.holders.position;
-    const era = this.keeper.era ?? 0;
+    const era = this.replica.era ?? 0;
     return {version, digest, era, holders, time: this.clock.tick(now)};
   }
 
--- a/packages/brain/src/control/holderRole.ts
+++ b/packages/brain/src/control/holderRole.ts
@@ -39,7 +39,7 @@
   /** Applies a holder record, from the log or a peer. */
   apply(entry: HolderEntry): readonly ControlAction[] {
     const {service, box, fence} = entry;
-    this.knownUpTo({...fence, offset: fence.offset + 1});
+    this.advancePosition({...fence, offset: fence.offset + 1});
     if (!this.table.apply(fence, entry)) {
       return [];
     }
@@ -63,13 +63,13 @@
   }
 
   /** Advances the position up to which the stream is known. */
-  knownUpTo(position: StreamPosition): void {
+  advancePosition(position: StreamPosition): void {
     this.position = laterPosition(this.position, position);
   }
 
   /** Reads the holders of a restored log from its beginning. */
   logRestored(era: Era): void {
-    this.knownUpTo({era, offset: 0});
+    this.advancePosition({era, offset: 0});
   }
 
   /** Entries from a position on, for a peer that lacks them. */
--- a/packages/brain/src/control/logFollower.ts
+++ b/packages/brain/src/control/logFollower.ts
@@ -2,20 +2,24 @@
 /** Reads the streams of the log and processes their records. */
 
 import type {Era, LogRecord, RandomSource} from '@lockpin/types';
-import type {ConfigurationKeeper} from './configurationKeeper.js';
+import type {ConfigurationReplica} from './configurationReplica.js';
 import type {
   ControlAction,
   LogReadResult,
   StreamName,
 } from './controlMessages.js';
 import type {HolderRole} from './holderRole.js';
-import type {RestoreKeeper} from './restoreKeeper.js';
-import {isSnapshotChunk} from './snapshotShelf.js';
+import type {RestoreCoordinator} from './restoreCoordinator.js';
+import {isSnapshotChunk} from './snapshotAssembler.js';
 import type {SnapshotWriter} from './snapshotWriter.js';
 import type {StartPhase} from './startPhase.js';
 import {StreamReader} from './streamReader.js';
-import type {ReadingPace} from './streamReader.js';
-import {foldEvent, readHolder, streamsOf} from './streamRecords.js';
+import type {ReadSchedule} from './streamReader.js';
+import {
+  foldTimelineAction,
+  parseHolder,
+  streamsForPhase,
+} from './streamRecords.js';
 import {timelineAction} from './timelineAction.js';
 
 /** Replaces a result from before a restore, so that it has no effect. */
@@ -26,17 +30,17 @@
 const SLOW_SNAPSHOT_READ_MILLISECONDS = 300_000;
 
 /** Dependencies of the log follower. */
-export interface LogFollowerParts {
+export interface LogFollowerDependencies {
   readonly box: string;
-  readonly keeper: ConfigurationKeeper;
+  readonly replica: ConfigurationReplica;
   readonly holders: HolderRole;
   readonly writer: SnapshotWriter;
   /** Whether this node reads the log continuously. */
   readonly isReader: () => boolean;
   /** Whether a change submitted here is yet to be read back. */
-  readonly isAwaiting: () => boolean;
+  readonly isAwaitingChange: () => boolean;
   readonly isReady: () => boolean;
-  readonly restores: RestoreKeeper;
+  readonly restores: RestoreCoordinator;
   /** Called after records were folded, to announce the new version. */
   readonly onFolded: (
     now: number,
@@ -50,8 +54,8 @@
   private snapshotsPosition = 0;
   private needsSnapshot = false;
 
-  constructor(private readonly dependencies: LogFollowerParts) {
-    const {keeper: replica, holders} = dependencies;
+  constructor(private readonly dependencies: LogFollowerDependencies) {
+    const {replica, holders} = dependencies;
     this.readers = {
       configuration: new StreamReader('configuration', () => replica.version),
       holders: new StreamReader('holders', () => holders.position.offset),
@@ -80,7 +84,7 @@
     const restoreActions = restores.tick(now);
     const streams: readonly StreamName[] = restores.isPending
       ? ['holders']
-      : streamsOf(phase);
+      : streamsForPhase(phase);
     return [
       ...streams.flatMap((stream) =>
         this.readers[stream].tick(now, this.schedule(stream)),
@@ -98,10 +102,10 @@
     result: LogReadResult,
   ): readonly ControlAction[] {
     const {restores} = this.dependencies;
-    const isStale = 'era' in result && this.isOutdated(now, result.era);
+    const isStale = 'era' in result && this.observeEra(now, result.era);
     const currentResult: LogReadResult = isStale ? UNREACHABLE : result;
     if (stream !== 'holders' && restores.isPending) {
-      this.readers[stream].ended(
+      this.readers[stream].readEnded(
         now,
         random,
         UNREACHABLE,
@@ -114,12 +118,12 @@
   }
 
   /** Records the era of a log response; true if the response is outdated. */
-  isOutdated(now: number, era: Era): boolean {
+  observeEra(now: number, era: Era): boolean {
     const {restores, holders} = this.dependencies;
-    const isOutdated = restores.isOutdated(now, era);
+    const isOutdated = restores.observeEra(now, era);
     if (!isOutdated && era > holders.position.era) {
       holders.logRestored(era);
-      this.readers.holders.hurry(now);
+      this.readers.holders.readSoon(now);
     }
     return isOutdated;
   }
@@ -133,7 +137,7 @@
     const reader = this.readers[stream];
     const hadReachedTail = reader.hasReachedTail;
     const actions = this.handleResult(now, random, stream, result);
-    reader.ended(now, random, result, this.schedule(stream));
+    reader.readEnded(now, random, result, this.schedule(stream));
     const isFirstTail =
       stream === 'holders' && reader.hasReachedTail && !hadReachedTail;
     return isFirstTail ? [...actions, {kind: 'holders-read'}] : actions;
@@ -152,8 +156,8 @@
     }
     this.snapshotsPosition = position;
     writer.logRestored();
-    this.readers.snapshots.readToTailBy(now);
-    this.readers.configuration.readToTailBy(now);
+    this.readers.snapshots.markReadToTail(now);
+    this.readers.configuration.markReadToTail(now);
     return [...actions, ...onFolded(now, random)];
   }
 
@@ -163,19 +167,19 @@
     random: RandomSource,
     records: readonly LogRecord<unknown>[],
   ): readonly ControlAction[] {
-    const folds = this.dependencies.keeper.fold(records);
+    const folds = this.dependencies.replica.fold(records);
     return folds.length === 0
       ? []
       : [
           {kind: 'folded', folds},
-          ...folds.map(foldEvent),
+          ...folds.map(foldTimelineAction),
           ...this.dependencies.onFolded(now, random),
         ];
   }
 
   /** Adopts a snapshot only if this node cannot continue from the log. */
   adoptSnapshot(): readonly ControlAction[] {
-    const {keeper: replica, box, isReady} = this.dependencies;
+    const {replica, box, isReady} = this.dependencies;
     if (isReady() && !this.needsSnapshot) {
       return [];
     }
@@ -191,8 +195,8 @@
       : [];
   }
 
-  private schedule(stream: StreamName): ReadingPace {
-    const {isReader, isAwaiting: isAwaitingChange} = this.dependencies;
+  private schedule(stream: StreamName): ReadSchedule {
+    const {isReader, isAwaitingChange} = this.dependencies;
     const isAwaited =
       (stream === 'configuration' && isAwaitingChange()) ||
       (stream === 'snapshots' && this.needsSnapshot);
@@ -225,7 +229,7 @@
   private checkLength(now: number, stream: StreamName, next: number): void {
     const {readFrom} = this.readers.configuration;
     if (stream === 'configuration' && next < readFrom) {
-      this.dependencies.restores.foldAnew(now);
+      this.dependencies.restores.rebuildState(now);
     }
   }
 
@@ -236,9 +240,9 @@
   ): void {
     const {writer} = this.dependencies;
     if (stream === 'configuration') {
-      writer.retentionSeen(first, next);
+      writer.observeRetention(first, next);
     } else if (stream === 'snapshots') {
-      writer.snapshotsRetained(first);
+      writer.observeSnapshotRetention(first);
     }
   }
 
@@ -264,16 +268,16 @@
     stream: StreamName,
     {era, first}: LogReadResult & {readonly kind: 'expired'},
   ): readonly ControlAction[] {
-    const {keeper: replica, holders, box} = this.dependencies;
+    const {replica, holders, box} = this.dependencies;
     switch (stream) {
       case 'configuration': {
         this.needsSnapshot = true;
-        this.readers.snapshots.hurry(now);
+        this.readers.snapshots.readSoon(now);
         const detail = {version: replica.version, first};
         return [timelineAction('log-overtook-reader', box, detail)];
       }
       case 'holders':
-        holders.knownUpTo({era, offset: first});
+        holders.advancePosition({era, offset: first});
         return [];
       case 'snapshots':
         this.snapshotsPosition = first;
@@ -286,8 +290,8 @@
     {offset, value}: LogRecord<unknown>,
   ): readonly ControlAction[] {
     const {holders} = this.dependencies;
-    const entry = readHolder({era, offset}, value);
-    holders.knownUpTo({era, offset: offset + 1});
+    const entry = parseHolder({era, offset}, value);
+    holders.advancePosition({era, offset: offset + 1});
     return entry === undefined ? [] : holders.apply(entry);
   }
 
@@ -295,12 +299,12 @@
     now: number,
     {offset, value}: LogRecord<unknown>,
   ): readonly ControlAction[] {
-    const {keeper: replica, writer} = this.dependencies;
+    const {replica, writer} = this.dependencies;
     this.snapshotsPosition = Math.max(this.snapshotsPosition, offset + 1);
-    if (!isSnapshotChunk(value) || !replica.shelf.add(value)) {
+    if (!isSnapshotChunk(value) || !replica.snapshots.add(value)) {
       return [];
     }
-    writer.seen(now, value.version, offset);
+    writer.observeSnapshot(now, value.version, offset);
     return this.adoptSnapshot();
   }
 }
--- a/packages/brain/src/control/logRestore.ts
+++ b/packages/brain/src/control/logRestore.ts
@@ -9,7 +9,7 @@
 
 import type {SnapshotChunk} from '@lockpin/configuration';
 import type {ChangeOutcome, ChangeRecord, Era, LogRecord} from '@lockpin/types';
-import {ConfigurationKeeper} from './configurationKeeper.js';
+import {ConfigurationReplica} from './configurationReplica.js';
 import type {
   AppendResult,
   ControlAction,
@@ -17,9 +17,9 @@
   StreamName,
 } from './controlMessages.js';
 import {BUFFERED_RECORDS} from './recordBuffer.js';
-import {isSnapshotChunk} from './snapshotShelf.js';
+import {isSnapshotChunk} from './snapshotAssembler.js';
 import {StreamReader} from './streamReader.js';
-import type {ReadingPace} from './streamReader.js';
+import type {ReadSchedule} from './streamReader.js';
 import type {RandomSource} from '@lockpin/types';
 
 /** Delay per rank, so that lower-ranked nodes can write first. */
@@ -35,7 +35,7 @@
 const TOKEN_PREFIX = 'rewrite ';
 
 /** Reads continuously, because API callers wait for the restore to end. */
-const SCHEDULE: ReadingPace = {isContinuous: true, interval: 0};
+const SCHEDULE: ReadSchedule = {isContinuous: true, interval: 0};
 
 /** A log with more records is folded from a snapshot on. */
 const MAX_FOLDED_RECORDS = BUFFERED_RECORDS;
@@ -48,19 +48,19 @@
 }
 
 /** Parameters of a restore. */
-export interface LogRestoreParts {
+export interface LogRestoreOptions {
   readonly era: Era;
   /** Ignores snapshots of earlier eras: one may belong to a lost history. */
   readonly onlyThisEra: boolean;
   /** The state in force when the restore was detected. */
-  readonly before: ConfigurationKeeper;
+  readonly before: ConfigurationReplica;
   /** Number of nodes that write before this one. */
-  readonly turn: () => number;
+  readonly writerRank: () => number;
 }
 
 /** A restore, from detection of the new era until its state is in force. */
 export class LogRestore {
-  readonly successor = new ConfigurationKeeper();
+  readonly rebuilt = new ConfigurationReplica();
   /** Offset after the last record read from the snapshots stream. */
   snapshotsPosition = 0;
   /** Number of records that this node has rewritten. */
@@ -69,7 +69,7 @@
     snapshots: new StreamReader('snapshots', () => this.snapshotsPosition),
     configuration: new StreamReader(
       'configuration',
-      () => this.successor.version,
+      () => this.rebuilt.version,
     ),
   };
   private readonly writtenAt = new Map<string, number>();
@@ -81,8 +81,8 @@
   private progressAt = 0;
   private progressVersion = -1;
 
-  constructor(private readonly options: LogRestoreParts) {
-    this.successor.era = options.era;
+  constructor(private readonly options: LogRestoreOptions) {
+    this.rebuilt.era = options.era;
   }
 
   get era(): Era {
@@ -116,19 +116,19 @@
     if (result.kind !== 'unreachable' && stream === 'configuration') {
       this.initialLength ??= result.next;
       this.needsSnapshot ||=
-        this.successor.version === 0 && this.initialLength > MAX_FOLDED_RECORDS;
+        this.rebuilt.version === 0 && this.initialLength > MAX_FOLDED_RECORDS;
     }
     if (result.kind === 'records') {
       this.handleRecords(stream, result.records);
     } else if (result.kind === 'expired') {
       this.handleExpired(now, stream, result.first);
     }
-    this.readers[stream].ended(now, random, result, SCHEDULE);
+    this.readers[stream].readEnded(now, random, result, SCHEDULE);
     if (this.readers.configuration.hasReachedTail) {
       this.tailReachedAt ??= now;
     }
-    if (this.successor.version > this.progressVersion) {
-      this.progressVersion = this.successor.version;
+    if (this.rebuilt.version > this.progressVersion) {
+      this.progressVersion = this.rebuilt.version;
       this.progressAt = now;
     }
   }
@@ -141,7 +141,7 @@
     } else {
       this.rewritten += 1;
     }
-    this.readers.configuration.hurry(now);
+    this.readers.configuration.readSoon(now);
   }
 
   /** Whether the log has all known records again, or the rest is lost. */
@@ -149,19 +149,19 @@
     if (this.tailReachedAt === undefined || this.missing().length > 0) {
       return false;
     }
-    const isRestored = this.successor.version >= this.options.before.version;
+    const isRestored = this.rebuilt.version >= this.options.before.version;
     return isRestored || now - this.progressAt > PROGRESS_TIMEOUT_MILLISECONDS;
   }
 
   /** Previously accepted changes that the restored log does not accept. */
   lostChanges(): readonly LostChange[] {
     const {before} = this.options;
-    return before.rememberedRecords().flatMap(({value}) => {
+    return before.bufferedRecords().flatMap(({value}) => {
       const changeId = changeIdOf(value);
       const wasAccepted =
         changeId !== undefined &&
         before.state.outcomeOf(changeId)?.kind === 'accepted';
-      const outcome = this.successor.state.outcomeOf(changeId ?? '');
+      const outcome = this.rebuilt.state.outcomeOf(changeId ?? '');
       return wasAccepted && outcome?.kind !== 'accepted'
         ? [{changeId, outcome}]
         : [];
@@ -170,8 +170,8 @@
 
   /** Includes refused changes, so that all other records keep their offsets. */
   private missing(): readonly LogRecord<unknown>[] {
-    const {state} = this.successor;
-    return this.options.before.rememberedRecords().filter(({value}) => {
+    const {state} = this.rebuilt;
+    return this.options.before.bufferedRecords().filter(({value}) => {
       const changeId = changeIdOf(value);
       return changeId !== undefined && state.outcomeOf(changeId) === undefined;
     });
@@ -181,7 +181,8 @@
     const {tailReachedAt} = this;
     const isTurn =
       tailReachedAt !== undefined &&
-      now - tailReachedAt >= this.options.turn() * RANK_DELAY_MILLISECONDS;
+      now - tailReachedAt >=
+        this.options.writerRank() * RANK_DELAY_MILLISECONDS;
     if (!isTurn || this.isAppending) {
       return [];
     }
@@ -207,14 +208,14 @@
   ): void {
     if (stream === 'configuration') {
       const isAwaitingSnapshot =
-        this.needsSnapshot && this.successor.version === 0;
-      this.successor.fold(isAwaitingSnapshot ? [] : records);
+        this.needsSnapshot && this.rebuilt.version === 0;
+      this.rebuilt.fold(isAwaitingSnapshot ? [] : records);
       return;
     }
     for (const {offset, value} of records) {
       this.snapshotsPosition = Math.max(this.snapshotsPosition, offset + 1);
-      if (this.isTrusted(value) && this.successor.shelf.add(value)) {
-        this.successor.adoptSnapshot();
+      if (this.isTrusted(value) && this.rebuilt.snapshots.add(value)) {
+        this.rebuilt.adoptSnapshot();
       }
     }
   }
@@ -239,7 +240,7 @@
       this.snapshotsPosition = first;
     } else {
       this.needsSnapshot = true;
-      this.readers.snapshots.hurry(now);
+      this.readers.snapshots.readSoon(now);
     }
   }
 }
--- a/packages/brain/src/control/peerPuller.ts
+++ b/packages/brain/src/control/peerPuller.ts
@@ -6,7 +6,7 @@
 import type {DatagramHeader, Member, Membership} from '@lockpin/membership';
 import type {RandomSource} from '@lockpin/types';
 import {isLaterPosition} from '@lockpin/utils';
-import type {ConfigurationKeeper} from './configurationKeeper.js';
+import type {ConfigurationReplica} from './configurationReplica.js';
 import type {ControlAction, PeerReply, PeerRequest} from './controlMessages.js';
 import type {HolderRole} from './holderRole.js';
 
@@ -51,7 +51,7 @@
 
   constructor(
     private readonly membership: Membership,
-    private readonly replica: ConfigurationKeeper,
+    private readonly replica: ConfigurationReplica,
     private readonly holders: HolderRole,
   ) {}
 
@@ -65,7 +65,7 @@
   }
 
   /** Records whether a peer is ahead, according to its datagram. */
-  heardOf(peer: Member, {version, era, holders}: DatagramHeader): void {
+  observeHeader(peer: Member, {version, era, holders}: DatagramHeader): void {
     const isSameEra =
       this.replica.era === undefined || era === this.replica.era;
     const isAhead =
@@ -98,7 +98,7 @@
     return peer === undefined ? [] : [this.requestRecords(now, peer)];
   }
 
-  ended(now: number, reply: PeerReply | undefined): PullResult {
+  exchangeEnded(now: number, reply: PeerReply | undefined): PullResult {
     this.isExchanging = false;
     if (reply?.kind === 'records') {
       this.answered.add(this.peer?.box ?? '');
@@ -142,7 +142,7 @@
     if (first === undefined || first.version <= this.replica.version) {
       return;
     }
-    this.replica.shelf.add(first);
+    this.replica.snapshots.add(first);
     const {writer, count} = first;
     this.transfer = count > 1 ? {writer, count, next: 1} : undefined;
   }
--- a/packages/brain/src/control/peerServing.ts
+++ b/packages/brain/src/control/peerRequestHandler.ts
@@ -2,19 +2,19 @@
 /** Answers requests of other nodes for records, members and permits. */
 
 import type {Membership} from '@lockpin/membership';
-import type {ConfigurationKeeper} from './configurationKeeper.js';
+import type {ConfigurationReplica} from './configurationReplica.js';
 import type {ControlAction, PeerReply, PeerRequest} from './controlMessages.js';
 import type {HolderRole} from './holderRole.js';
 
 /** Answers peer requests from this node's own state. */
-export class PeerServing {
+export class PeerRequestHandler {
   constructor(
     private readonly membership: Membership,
-    private readonly replica: ConfigurationKeeper,
+    private readonly replica: ConfigurationReplica,
     private readonly holders: HolderRole,
   ) {}
 
-  serve(now: number, token: string, request: PeerRequest): ControlAction {
+  handle(now: number, token: string, request: PeerRequest): ControlAction {
     return {kind: 'reply', token, reply: this.replyTo(now, request)};
   }
 
@@ -49,11 +49,11 @@
     version,
     era,
   }: PeerRequest & {readonly kind: 'records'}): ReturnType<
-    ConfigurationKeeper['recordsFor']
+    ConfigurationReplica['recordsSince']
   > {
     const isSameEra = era === undefined || era === this.replica.era;
     return isSameEra
-      ? this.replica.recordsFor(version)
+      ? this.replica.recordsSince(version)
       : {records: [], snapshot: undefined};
   }
 }
--- a/packages/brain/src/control/pulledRecords.ts
+++ b/packages/brain/src/control/pullResultHandler.ts
@@ -2,22 +2,22 @@
 /** Applies the results of pulls from peers. */
 
 import type {RandomSource} from '@lockpin/types';
-import type {ConfigurationKeeper} from './configurationKeeper.js';
+import type {ConfigurationReplica} from './configurationReplica.js';
 import type {ControlAction, PeerReply} from './controlMessages.js';
 import type {HolderRole} from './holderRole.js';
 import type {LogFollower} from './logFollower.js';
 import type {PullResult} from './peerPuller.js';
 
 /** Folds only records of the era that the local state was folded from. */
-export class PulledRecords {
+export class PullResultHandler {
   constructor(
-    private readonly replica: ConfigurationKeeper,
+    private readonly replica: ConfigurationReplica,
     private readonly holders: HolderRole,
     private readonly follower: LogFollower,
   ) {}
 
   /** Handles the result of one exchange. */
-  take(
+  handle(
     now: number,
     random: RandomSource,
     pulled: PullResult,
@@ -26,7 +26,7 @@
       case 'records':
         return this.handleRecords(now, random, pulled.reply);
       case 'snapshot-chunk':
-        return this.replica.shelf.add(pulled.chunk)
+        return this.replica.snapshots.add(pulled.chunk)
           ? this.follower.adoptSnapshot()
           : [];
       case 'nothing':
@@ -43,7 +43,7 @@
     const holderActions = reply.holders.flatMap((entry) =>
       holders.apply(entry),
     );
-    holders.knownUpTo(reply.holdersPosition);
+    holders.advancePosition(reply.holdersPosition);
     const {replica} = this;
     replica.era ??= reply.records.length > 0 ? reply.era : undefined;
     if (reply.era !== replica.era) {
--- a/packages/brain/src/control/reportRouter.ts
+++ b/packages/brain/src/control/reportRouter.ts
@@ -2,7 +2,7 @@
 /** Routes guards' reports to the permit holders and returns the replies. */
 
 import type {GuardReport, HolderReply} from '@lockpin/floor';
-import type {ConfigurationKeeper} from './configurationKeeper.js';
+import type {ConfigurationReplica} from './configurationReplica.js';
 import type {ControlAction, PeerReply, PeerRequest} from './controlMessages.js';
 import type {HolderRole} from './holderRole.js';
 
@@ -16,11 +16,11 @@
 
   constructor(
     private readonly box: string,
-    private readonly replica: ConfigurationKeeper,
+    private readonly replica: ConfigurationReplica,
     private readonly holders: HolderRole,
   ) {}
 
-  reported(
+  route(
     now: number,
     service: string,
     reports: readonly GuardReport[],
@@ -45,7 +45,10 @@
     return this.pendingServices.has(token);
   }
 
-  ended(token: string, reply: PeerReply | undefined): readonly ControlAction[] {
+  exchangeEnded(
+    token: string,
+    reply: PeerReply | undefined,
+  ): readonly ControlAction[] {
     const service = this.pendingServices.get(token);
     this.pendingServices.delete(token);
     return service !== undefined && reply?.kind === 'reports'
--- a/packages/brain/src/control/restoreKeeper.ts
+++ b/packages/brain/src/control/restoreCoordinator.ts
@@ -5,7 +5,7 @@
 import type {DatagramHeader, Membership} from '@lockpin/membership';
 import type {Era, RandomSource} from '@lockpin/types';
 import {stableHash} from '@lockpin/utils';
-import type {ConfigurationKeeper} from './configurationKeeper.js';
+import type {ConfigurationReplica} from './configurationReplica.js';
 import type {ControlAction} from './controlMessages.js';
 import {LogRestore} from './logRestore.js';
 import {timelineAction} from './timelineAction.js';
@@ -24,21 +24,21 @@
 const NON_READER_RANK = 10;
 
 /** Dependencies of the restore coordinator. */
-export interface RestoreKeeperParts {
+export interface RestoreCoordinatorDependencies {
   readonly membership: Membership;
-  readonly keeper: ConfigurationKeeper;
+  readonly replica: ConfigurationReplica;
   readonly isReader: () => boolean;
 }
 
 /** Tracks the newest era of the log and moves this node's state to it. */
-export class RestoreKeeper {
+export class RestoreCoordinator {
   private restore: LogRestore | undefined;
   private newestEra: Era | undefined;
   private startAt = 0;
   private nextRebuildAt = 0;
   private completedCount = 0;
 
-  constructor(private readonly dependencies: RestoreKeeperParts) {}
+  constructor(private readonly dependencies: RestoreCoordinatorDependencies) {}
 
   /** The restore in progress, if any. */
   get current(): LogRestore | undefined {
@@ -47,7 +47,7 @@
 
   /** Whether the log has a newer era, or a restore is in progress. */
   get isPending(): boolean {
-    const {era} = this.dependencies.keeper;
+    const {era} = this.dependencies.replica;
     const isBehind =
       era !== undefined && this.newestEra !== undefined && this.newestEra > era;
     return isBehind || this.restore !== undefined;
@@ -59,24 +59,24 @@
   }
 
   /** Records the era of a log response; true if it is of an earlier history. */
-  isOutdated(now: number, era: Era): boolean {
-    const {keeper: replica} = this.dependencies;
+  observeEra(now: number, era: Era): boolean {
+    const {replica} = this.dependencies;
     replica.era ??= era;
     this.recordEra(era, now);
     return era < (this.newestEra ?? era);
   }
 
   /** Handles the version and era in force on a peer. */
-  peerHeard(
+  observePeer(
     now: number,
     random: RandomSource,
     {era, version, digest}: DatagramHeader,
   ): readonly ControlAction[] {
-    const {keeper: replica, isReader} = this.dependencies;
+    const {replica, isReader} = this.dependencies;
     if (replica.era === undefined || era <= replica.era) {
       return [];
     }
-    if (era === (this.newestEra ?? era) && replica.isSameAs(version, digest)) {
+    if (era === (this.newestEra ?? era) && replica.matches(version, digest)) {
       this.newestEra = era;
       return this.adoptEra(era);
     }
@@ -92,8 +92,8 @@
    * one of the two used a snapshot of a lost history. Only snapshots that were
    * written in this era are trusted.
    */
-  foldAnew(now: number): void {
-    const {era} = this.dependencies.keeper;
+  rebuildState(now: number): void {
+    const {era} = this.dependencies.replica;
     if (era !== undefined && !this.isPending && now >= this.nextRebuildAt) {
       this.nextRebuildAt = now + REBUILD_INTERVAL_MILLISECONDS;
       this.start(era, true);
@@ -103,7 +103,7 @@
   /** Starts a restore that is due and advances the one in progress. */
   tick(now: number): readonly ControlAction[] {
     const {newestEra} = this;
-    const {era = newestEra} = this.dependencies.keeper;
+    const {era = newestEra} = this.dependencies.replica;
     const isBehind =
       newestEra !== undefined &&
       newestEra !== era &&
@@ -118,8 +118,8 @@
     this.restore = new LogRestore({
       era,
       onlyThisEra,
-      before: this.dependencies.keeper,
-      turn: () => this.writerRank(era),
+      before: this.dependencies.replica,
+      writerRank: () => this.writerRank(era),
     });
   }
 
@@ -129,11 +129,11 @@
     if (restore?.isComplete(now) !== true) {
       return [];
     }
-    const {keeper: replica, membership} = this.dependencies;
-    const {successor: rebuilt, era, rewritten} = restore;
+    const {replica, membership} = this.dependencies;
+    const {rebuilt, era, rewritten} = restore;
     const lost = restore.lostChanges();
-    const isSame = replica.isSameAs(rebuilt.version, rebuilt.state.digest);
-    replica.replaceBy(rebuilt);
+    const isSame = replica.matches(rebuilt.version, rebuilt.state.digest);
+    replica.replaceWith(rebuilt);
     this.restore = undefined;
     this.completedCount += 1;
     const {version} = replica;
@@ -151,7 +151,7 @@
   }
 
   private adoptEra(era: Era): readonly ControlAction[] {
-    const {keeper: replica, membership} = this.dependencies;
+    const {replica, membership} = this.dependencies;
     replica.era = era;
     this.restore = undefined;
     this.completedCount += 1;
@@ -160,7 +160,7 @@
   }
 
   private recordEra(era: Era, startAt: number): void {
-    const {keeper: replica} = this.dependencies;
+    const {replica} = this.dependencies;
     if (era > Math.max(this.newestEra ?? 0, replica.era ?? era)) {
       this.newestEra = era;
       this.startAt = startAt;
--- a/packages/brain/src/control/snapshotShelf.ts
+++ b/packages/brain/src/control/snapshotAssembler.ts
@@ -7,7 +7,7 @@
 const MAX_INCOMPLETE_SNAPSHOTS = 8;
 
 /** Collects chunks, in any order and from several writers. */
-export class SnapshotShelf {
+export class SnapshotAssembler {
   private readonly incomplete = new Map<string, Map<number, SnapshotChunk>>();
   private complete: readonly SnapshotChunk[] = [];
 
--- a/packages/brain/src/control/snapshotWriter.ts
+++ b/packages/brain/src/control/snapshotWriter.ts
@@ -51,7 +51,7 @@
   }
 
   /** Records a complete snapshot; offset is that of its last chunk in the log. */
-  seen(now: number, version: number, offset: number): void {
+  observeSnapshot(now: number, version: number, offset: number): void {
     this.lastSeenVersion = Math.max(this.lastSeenVersion, version);
     this.lastSeenAt = now;
     this.lastSeenOffset = offset;
@@ -73,7 +73,7 @@
   }
 
   /** Adapts to the number of configuration records that the log retains. */
-  retentionSeen(first: number, next: number): void {
+  observeRetention(first: number, next: number): void {
     this.everyRecords =
       first === 0
         ? this.settings.everyRecords
@@ -84,7 +84,7 @@
   }
 
   /** Handles the first offset that the snapshots stream retains. */
-  snapshotsRetained(first: number): void {
+  observeSnapshotRetention(first: number): void {
     this.isNewestLost = first > this.lastSeenOffset;
   }
 
--- a/packages/brain/src/control/startPhase.ts
+++ b/packages/brain/src/control/startPhase.ts
@@ -2,11 +2,11 @@
 /** Determines what a starting node still needs before it can serve. */
 
 /** Progress of a starting node. */
-export interface StartFacts {
+export interface StartProgress {
   readonly now: number;
   readonly startedAt: number;
   readonly peersAnswered: number;
-  readonly peersWanted: number;
+  readonly peersRequired: number;
   readonly isTransferring: boolean;
   readonly snapshotsRead: boolean;
   readonly snapshotReadFailures: number;
@@ -28,7 +28,7 @@
  * A node serves once it has read the log to its end. While the log is
  * unreachable, it serves once it has the newest version known to its peers.
  */
-export function startPhase(progress: StartFacts): StartPhase {
+export function startPhase(progress: StartProgress): StartPhase {
   if (progress.logReadToTail) {
     return 'ready';
   }
@@ -48,11 +48,11 @@
     : 'reading-log';
 }
 
-function isWaitingForPeers(progress: StartFacts): boolean {
+function isWaitingForPeers(progress: StartProgress): boolean {
   const waited = progress.now - progress.startedAt;
   return (
     progress.isTransferring ||
-    (progress.peersAnswered < progress.peersWanted &&
+    (progress.peersAnswered < progress.peersRequired &&
       waited < PEER_TIMEOUT_MILLISECONDS)
   );
 }
--- a/packages/brain/src/control/streamReader.ts
+++ b/packages/brain/src/control/streamReader.ts
@@ -9,7 +9,7 @@
 } from './controlMessages.js';
 
 /** How often a stream is read. */
-export interface ReadingPace {
+export interface ReadSchedule {
   /** Reads again immediately, with long polling. */
   readonly isContinuous: boolean;
   /** Otherwise, milliseconds between reads. */
@@ -50,17 +50,17 @@
   }
 
   /** Marks the stream as read to its end by another reader. */
-  readToTailBy(now: number): void {
+  markReadToTail(now: number): void {
     this.reachedTail = true;
     this.nextReadAt = now;
   }
 
   /** Reads as soon as possible, because a record is expected. */
-  hurry(now: number): void {
+  readSoon(now: number): void {
     this.nextReadAt = Math.min(this.nextReadAt, now);
   }
 
-  tick(now: number, schedule: ReadingPace): readonly ControlAction[] {
+  tick(now: number, schedule: ReadSchedule): readonly ControlAction[] {
     if (this.isReading || now < this.nextReadAt) {
       return [];
     }
@@ -79,11 +79,11 @@
   }
 
   /** Records the result of a read, after its records were folded. */
-  ended(
+  readEnded(
     now: number,
     random: RandomSource,
     result: LogReadResult,
-    schedule: ReadingPace,
+    schedule: ReadSchedule,
   ): void {
     this.isReading = false;
     if (result.kind === 'unreachable') {
--- a/packages/brain/src/control/streamRecords.ts
+++ b/packages/brain/src/control/streamRecords.ts
@@ -12,7 +12,7 @@
 import {timelineAction} from './timelineAction.js';
 
 /** The streams to read in a phase of the start. */
-export function streamsOf(phase: StartPhase): readonly StreamName[] {
+export function streamsForPhase(phase: StartPhase): readonly StreamName[] {
   switch (phase) {
     case 'asking-peers':
       return [];
@@ -24,7 +24,7 @@
 }
 
 /** The timeline event for a folded record. */
-export function foldEvent(fold: FoldResult): ControlAction {
+export function foldTimelineAction(fold: FoldResult): ControlAction {
   const {outcome, changeId, author} = fold;
   const {version} = outcome;
   const detail = {version, author, effects: fold.effects.length};
@@ -32,7 +32,7 @@
 }
 
 /** Parses a claim of permits; undefined for any other record. */
-export function readHolder(
+export function parseHolder(
   fence: Fence,
   value: unknown,
 ): HolderEntry | undefined {
--- a/packages/brain/src/control/versionNews.ts
+++ b/packages/brain/src/control/versionAnnouncer.ts
@@ -9,7 +9,7 @@
   MembershipContext,
 } from '@lockpin/membership';
 import type {RandomSource} from '@lockpin/types';
-import type {ConfigurationKeeper} from './configurationKeeper.js';
+import type {ConfigurationReplica} from './configurationReplica.js';
 import type {ControlAction} from './controlMessages.js';
 import {timelineAction} from './timelineAction.js';
 
@@ -23,18 +23,18 @@
 const WATCH_FAN_OUT = 32;
 
 /** Announces versions in datagrams and records the versions of other nodes. */
-export class VersionNews {
+export class VersionAnnouncer {
   /** Version that each box last reported in force. */
   readonly versionsInForce = new Map<string, number>();
 
   constructor(
     private readonly membership: Membership,
-    private readonly replica: ConfigurationKeeper,
+    private readonly replica: ConfigurationReplica,
     private readonly context: (now: number) => MembershipContext,
   ) {}
 
   /** Announces a new version to a random sample and to all watching nodes. */
-  tellOfVersion(now: number, random: RandomSource): readonly ControlAction[] {
+  announceVersion(now: number, random: RandomSource): readonly ControlAction[] {
     const {box} = this.membership.own;
     const {version} = this.replica;
     this.versionsInForce.set(box, version);
@@ -79,7 +79,7 @@
   }
 
   /** Handles the version and digest that a datagram carries. */
-  received(datagram: Datagram): readonly ControlAction[] {
+  datagramReceived(datagram: Datagram): readonly ControlAction[] {
     const {from, version} = datagram;
     return [
       ...this.recordVersion(from.box, version),
--- a/packages/membership/src/__tests__/membership.test.ts
+++ b/packages/membership/src/__tests__/membership.test.ts
@@ -41,7 +41,7 @@
       this.nodes.set(`box-${i}`, new Membership(identity(i)));
     }
     const all = [...this.nodes.values()].map(({own}) => own);
-    this.nodes.forEach((node) => node.learn(0, all));
+    this.nodes.forEach((node) => node.mergeMembers(0, all));
   }
 
   run(milliseconds: number): void {
--- a/packages/membership/src/datagrams.ts
+++ b/packages/membership/src/datagrams.ts
@@ -38,4 +38,4 @@
 export type Datagram = DatagramHeader & DatagramBody;
 
 /** Member updates per datagram, limited so that it fits one packet. */
-export const NEWS_PER_DATAGRAM = 4;
+export const UPDATES_PER_DATAGRAM = 4;
--- a/packages/membership/src/index.ts
+++ b/packages/membership/src/index.ts
@@ -3,4 +3,4 @@
 export * from './logReaders.js';
 export * from './member.js';
 export * from './membership.js';
-export * from './newsQueue.js';
+export * from './updateQueue.js';
--- a/packages/membership/src/membership.ts
+++ b/packages/membership/src/membership.ts
@@ -7,11 +7,11 @@
   RandomSource,
   StreamPosition,
 } from '@lockpin/types';
-import {NEWS_PER_DATAGRAM} from './datagrams.js';
+import {UPDATES_PER_DATAGRAM} from './datagrams.js';
 import type {Datagram, DatagramBody} from './datagrams.js';
 import {isUsable, supersedes} from './member.js';
 import type {Member, MemberIdentity} from './member.js';
-import {NewsQueue} from './newsQueue.js';
+import {UpdateQueue} from './updateQueue.js';
 
 /** Settings of the failure detector; times are in milliseconds. */
 export interface MembershipSettings {
@@ -20,9 +20,9 @@
   /** Nodes asked to probe a target that did not answer. */
   readonly indirectProbes: number;
   /** Time until a suspect is dead, per power of ten of the fleet size. */
-  readonly suspicion: number;
+  readonly suspicionTimeout: number;
   /** Retention of dead members, so that old updates cannot revive them. */
-  readonly deadKept: number;
+  readonly deadRetention: number;
   /** Interval of probes to a dead member, in case a partition has healed. */
   readonly deadProbeInterval: number;
 }
@@ -32,8 +32,8 @@
   probeInterval: 1000,
   ackTimeout: 300,
   indirectProbes: 3,
-  suspicion: 2000,
-  deadKept: 7_200_000,
+  suspicionTimeout: 2000,
+  deadRetention: 7_200_000,
   deadProbeInterval: 5000,
 };
 
@@ -83,7 +83,7 @@
   private readonly changedAt = new Map<string, number>();
   /** Boxes that are suspect or dead, the only states that expire. */
   private readonly suspectOrDead = new Set<string>();
-  private readonly updates = new NewsQueue();
+  private readonly updates = new UpdateQueue();
   private readonly probes = new Map<number, Probe>();
   private readonly relays = new Map<number, Relay>();
   private probeOrder: string[] = [];
@@ -141,7 +141,10 @@
   }
 
   /** Adds members from other sources: the platform's list or a peer. */
-  learn(now: number, added: readonly Member[]): readonly MembershipAction[] {
+  mergeMembers(
+    now: number,
+    added: readonly Member[],
+  ): readonly MembershipAction[] {
     return added.flatMap((member) => this.mergeMember(now, member));
   }
 
@@ -173,7 +176,7 @@
 
   /** Adds the header, with member updates to disseminate, to a body. */
   datagram(body: DatagramBody, context: MembershipContext): Datagram {
-    const news = this.updates.take(NEWS_PER_DATAGRAM, this.members.size);
+    const news = this.updates.take(UPDATES_PER_DATAGRAM, this.members.size);
     return {from: this.self, news, ...context, ...body};
   }
 
@@ -311,13 +314,18 @@
   private expireSuspicions(now: number): readonly MembershipAction[] {
     const magnitude = Math.ceil(Math.log10(this.members.size + 1));
     const timeout =
-      this.settings.suspicion * magnitude * (1 + this.localHealthScore / 2);
+      this.settings.suspicionTimeout *
+      magnitude *
+      (1 + this.localHealthScore / 2);
     const actions: MembershipAction[] = [];
     for (const member of this.suspectOrDeadMembers()) {
       const age = now - (this.changedAt.get(member.box) ?? now);
       if (member.state === 'suspect' && age >= timeout) {
         actions.push(...this.transition(now, member.box, 'suspect', 'dead'));
-      } else if (member.state === 'dead' && age >= this.settings.deadKept) {
+      } else if (
+        member.state === 'dead' &&
+        age >= this.settings.deadRetention
+      ) {
         this.members.delete(member.box);
         this.changedAt.delete(member.box);
         this.suspectOrDead.delete(member.box);
--- a/packages/membership/src/newsQueue.ts
+++ b/packages/membership/src/updateQueue.ts
@@ -12,7 +12,7 @@
 }
 
 /** Sends the least-sent updates first, each a bounded number of times. */
-export class NewsQueue {
+export class UpdateQueue {
   private readonly items = new Map<string, Item>();
 
   /** Adds an update, which replaces an older one of the same box. */
--- a/packages/node/src/operators/nodeStatus.ts
+++ b/packages/node/src/operators/nodeStatus.ts
@@ -13,7 +13,7 @@
   operator: Operator,
 ): unknown {
   const {control, guard} = host;
-  const {state} = control.keeper;
+  const {state} = control.replica;
   const isVisible = (name: string): boolean =>
     isFleetWide(operator) || name.startsWith(`${operator.scope}/`);
   const upstreams = guard
@@ -33,7 +33,7 @@
     isLeaving: host.isLeaving,
     version: state.version,
     digest: state.digest,
-    logEra: control.keeper.era ?? 0,
+    logEra: control.replica.era ?? 0,
     logRestores: control.restores.restoreCount,
     isFoldingAnew: control.restores.isPending,
     callsAtEntry: host.entry.callCount,
--- a/packages/node/src/operators/operatorApp.ts
+++ b/packages/node/src/operators/operatorApp.ts
@@ -108,7 +108,7 @@
     request: Parameters<Handler>[1],
     response: ServerResponse,
   ): Promise<void> => {
-    const {state} = host.control.keeper;
+    const {state} = host.control.replica;
     const operator = authenticate(state, bootstrapTokenHash, request);
     if (!host.isReady) {
       sendApiFailure(response, {kind: 'not-ready'});
@@ -130,7 +130,7 @@
       sendApiFailure(response, {kind: 'invalid', problems});
       return;
     }
-    const {state} = host.control.keeper;
+    const {state} = host.control.replica;
     const prefix = query.get('prefix') ?? '';
     const items = [...state.all()].filter(
       (resource) =>
@@ -151,7 +151,7 @@
     const {pathname} = new URL(request.url ?? '/', 'http://lockpin');
     const name = pathname.split('/').slice(3).join('/');
     const found = isResourceKind(kind)
-      ? host.control.keeper.state.get(kind, name)
+      ? host.control.replica.state.get(kind, name)
       : undefined;
     const isVisible = isResourceKind(kind) && maySee(operator, kind, name);
     if (found === undefined || !isVisible) {
@@ -232,7 +232,7 @@
 function outcome({host}: OperatorAppDependencies): Handler {
   return (operator, request, response) => {
     const changeId = request.params['id'] ?? '';
-    const found = host.control.keeper.state.outcomeOf(changeId);
+    const found = host.control.replica.state.outcomeOf(changeId);
     if (found === undefined || !isFleetWide(operator)) {
       const resource = `change ${changeId}`;
       sendApiFailure(response, {kind: 'not-found', resource});
@@ -244,7 +244,7 @@
 
 function watch({host, watches}: OperatorAppDependencies): Handler {
   return (operator, _request, response, query) => {
-    const {history, version} = host.control.keeper;
+    const {history, version} = host.control.replica;
     const from = Number(query.get('version') ?? version);
     const missed = history.after(from);
     if (missed === undefined) {
--- a/packages/node/src/process/composition.ts
+++ b/packages/node/src/process/composition.ts
@@ -142,7 +142,7 @@
   const host = dependencies.resolve(TOKENS.host);
   return createCallerApp({
     entry: dependencies.resolve(TOKENS.entryService),
-    state: () => host.control.keeper.state,
+    state: () => host.control.replica.state,
     isReady: () => host.isReady,
   });
 }
@@ -236,7 +236,7 @@
     logger: dependencies.resolve(TOKENS.logger),
     metrics: dependencies.resolve(TOKENS.metrics),
     largestBodyBytes: () => settings.largestBodyBytes,
-    protocol: lockpinCallerProtocol(() => host.control.keeper.state),
+    protocol: lockpinCallerProtocol(() => host.control.replica.state),
     isOwnBox: (box) => box === settings.box,
     needsGo: (box, repetition) =>
       box !== settings.box && repetition === 'at-most-once',
@@ -259,7 +259,7 @@
   const host = dependencies.resolve(TOKENS.host);
   const {control} = host;
   return new WatchHub({
-    version: () => control.keeper.version,
+    version: () => control.replica.version,
     inForce: (version) => {
       const usable = control.membership.all().filter(isUsable);
       const missing = usable.filter(
--- a/packages/node/src/process/nodeHost.ts
+++ b/packages/node/src/process/nodeHost.ts
@@ -1,7 +1,7 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
 /** Drives the state machines of a node and performs their actions. */
 
-import {ControlBrain, EntryBrain, GuardBrain} from '@lockpin/brain';
+import {ControlStateMachine, EntryBrain, GuardBrain} from '@lockpin/brain';
 import type {
   ChangeSettlement,
   ControlAction,
@@ -27,7 +27,7 @@
 
 /** Runs the state machines of one node and performs their actions. */
 export class NodeHost {
-  readonly control: ControlBrain;
+  readonly control: ControlStateMachine;
   readonly guard: GuardBrain;
   readonly entry: EntryBrain;
   private readonly pendingChanges = new Map<
@@ -53,7 +53,7 @@
     this.boxList = new BoxListPoller(environment, (boxes) =>
       this.handle({kind: 'boxes-listed', boxes}),
     );
-    this.control = new ControlBrain(identity, settings);
+    this.control = new ControlStateMachine(identity, settings);
     this.guard = new GuardBrain({box, incarnation});
     this.entry = new EntryBrain(box, dataCentre, {
       isUsable: (name) => this.isBoxUsable(name),
@@ -116,7 +116,7 @@
   publish(change: ChangeRecord): Promise<ChangeSettlement> {
     return new Promise((resolve) => {
       this.pendingChanges.set(change.changeId, resolve);
-      this.handle({kind: 'change-offered', change});
+      this.handle({kind: 'change-submitted', change});
     });
   }
 
@@ -238,7 +238,7 @@
   }
 
   private guardedServices(): readonly GuardedService[] {
-    const {state} = this.control.keeper;
+    const {state} = this.control.replica;
     return [...state.servicesOfBox(this.box)].flatMap((name) => {
       const view = state.service(name);
       if (view === undefined) {
--- a/packages/node/src/process/runNode.ts
+++ b/packages/node/src/process/runNode.ts
@@ -53,7 +53,7 @@
     onUpstreams: (upstreams) => pools.configure(upstreams),
     onFolded: (folds) => watches.folded(folds),
     onStateReplaced: () =>
-      watches.expire(host.control.keeper.history.oldestResumable),
+      watches.expire(host.control.replica.history.oldestResumable),
     onInForce: () => undefined,
     onTimeline: (event) => {
       timeline.add(event);
@@ -64,7 +64,7 @@
   });
   const stopGauges = every(GAUGE_INTERVAL_MILLISECONDS, () => {
     metrics.gauge('guard.occupied', guard.callCount);
-    metrics.gauge('configuration.version', host.control.keeper.version);
+    metrics.gauge('configuration.version', host.control.replica.version);
     const members = host.control.membership.all();
     metrics.gauge('members.usable', members.filter(isUsable).length);
   });
--- a/packages/tools/src/__tests__/bodiesAndStops.test.ts
+++ b/packages/tools/src/__tests__/bodiesAndStops.test.ts
@@ -35,7 +35,7 @@
   const writes = fleet.platform.upstreams
     .filter((upstream) => upstream.service === 'barid/telemetry')
     .flatMap(({name, box: place}) => {
-      const current = host.control.keeper.state.get('Upstream', name);
+      const current = host.control.replica.state.get('Upstream', name);
       return place === box || current === undefined
         ? []
         : [
@@ -48,7 +48,7 @@
             },
           ];
     });
-  const service = host.control.keeper.state.get('Service', 'barid/telemetry');
+  const service = host.control.replica.state.get('Service', 'barid/telemetry');
   const lowered = {
     operation: 'put' as const,
     kind: 'Service' as const,
@@ -64,9 +64,11 @@
   };
   const settled = await host.publish(change);
   expect(settled).toMatchObject({outcome: {kind: 'accepted'}});
-  const {version} = host.control.keeper;
+  const {version} = host.control.replica;
   await until(() =>
-    fleet.nodes.every(({host: each}) => each.control.keeper.version >= version),
+    fleet.nodes.every(
+      ({host: each}) => each.control.replica.version >= version,
+    ),
   );
 }
 
--- a/packages/tools/src/__tests__/restoredLog.test.ts
+++ b/packages/tools/src/__tests__/restoredLog.test.ts
@@ -53,13 +53,15 @@
     const isOver = (): boolean =>
       fleet.nodes.every(
         ({host}) =>
-          host.control.keeper.era === 2 && !host.control.restores.isPending,
+          host.control.replica.era === 2 && !host.control.restores.isPending,
       );
     await until(isOver);
     expect(recordCount()).toBe(before);
     expect((await offer('fourth', 1)).status).toBe(200);
     await until(() =>
-      fleet.nodes.every(({host}) => host.control.keeper.version === before + 1),
+      fleet.nodes.every(
+        ({host}) => host.control.replica.version === before + 1,
+      ),
     );
     for (const [at] of fleet.nodes.entries()) {
       for (const name of ['first', 'second', 'third', 'fourth']) {
--- a/packages/tools/src/capacity/decisionSlopes.ts
+++ b/packages/tools/src/capacity/decisionSlopes.ts
@@ -245,7 +245,7 @@
     const learnt = Array.from({length: LETTER_SIZE.nodes - 1}, (_, i) =>
       member(i + 1),
     );
-    made.learn(0, learnt);
+    made.mergeMembers(0, learnt);
     return made;
   });
   const tick = microsecondsEach(
--- a/packages/tools/src/harness/smallFleet.ts
+++ b/packages/tools/src/harness/smallFleet.ts
@@ -118,7 +118,7 @@
     ),
   } as ChangeRecord;
   await nodes[0]?.host.publish(change);
-  await until(() => nodes.every(({host}) => host.control.keeper.version > 0));
+  await until(() => nodes.every(({host}) => host.control.replica.version > 0));
 }
 
 async function mintKey(node: SmallNode, service: string): Promise<string> {
