--- a/packages/brain/src/__tests__/__fixtures__/callWorld.ts
+++ b/packages/brain/src/__tests__/__fixtures__/callWorld.ts
@@ -10,14 +10,14 @@
 import {mintOnceKey, parseOnceKey} from '@lockpin/once';
 import {seededRandom} from '@lockpin/utils';
 import type {Refusal, RefusalOutcome} from '@lockpin/types';
-import {EntryBrain} from '../../entry/entryBrain.js';
+import {EntryStateMachine} from '../../entry/entryStateMachine.js';
 import type {
   Attempt,
   EntryAction,
   EntryCall,
   EntryEvent,
 } from '../../entry/entryMessages.js';
-import {GuardBrain} from '../../guard/guardBrain.js';
+import {GuardStateMachine} from '../../guard/guardStateMachine.js';
 import type {GuardAction, GuardEvent} from '../../guard/guardMessages.js';
 
 /** Faults that can be injected before any step. */
@@ -89,8 +89,8 @@
   private queue: ScheduledEvent[] = [];
   private readonly random = seededRandom(2);
   private readonly view: ServiceView = createView();
-  private readonly entries = new Map<string, EntryBrain>();
-  private readonly guards = new Map<string, GuardBrain>();
+  private readonly entries = new Map<string, EntryStateMachine>();
+  private readonly guards = new Map<string, GuardStateMachine>();
   private readonly incarnations = new Map<string, number>();
   private readonly attempts = new Map<string, Attempt>();
   private readonly aborted = new Set<string>();
@@ -206,7 +206,10 @@
   private startGuard(box: string): void {
     const incarnation = (this.incarnations.get(box) ?? 0) + 1;
     this.incarnations.set(box, incarnation);
-    const guard = new GuardBrain({box, incarnation: String(incarnation)});
+    const guard = new GuardStateMachine({
+      box,
+      incarnation: String(incarnation),
+    });
     this.guards.set(box, guard);
     guard.handle(this.now, this.random, createServicesEvent(box, 'in-service'));
   }
@@ -214,7 +217,7 @@
   private startEntry(box: string): void {
     this.entries.set(
       box,
-      new EntryBrain(box, 'one', {
+      new EntryStateMachine(box, 'one', {
         isUsable: () => true,
         incarnation: (name) => String(this.incarnations.get(name)),
       }),
--- a/packages/brain/src/__tests__/__fixtures__/floorWorld.ts
+++ b/packages/brain/src/__tests__/__fixtures__/floorWorld.ts
@@ -5,7 +5,7 @@
 import type {Fence, GuardReport, HolderReply} from '@lockpin/floor';
 import {seededRandom} from '@lockpin/utils';
 import type {Resource} from '@lockpin/types';
-import {GuardBrain} from '../../guard/guardBrain.js';
+import {GuardStateMachine} from '../../guard/guardStateMachine.js';
 import type {GuardAction, GuardEvent} from '../../guard/guardMessages.js';
 
 /** Name of the only service. */
@@ -67,7 +67,7 @@
 export class FloorWorld {
   now = 1_000_000;
   readonly holders: PermitHolder[] = [];
-  readonly guards: GuardBrain[] = [];
+  readonly guards: GuardStateMachine[] = [];
   readonly messages: Message[] = [];
   private readonly incarnations: number[] = [];
   /** The fence of each holder, oldest first. */
@@ -149,7 +149,7 @@
   startGuard(i: number, isLogUnavailable: boolean): void {
     this.incarnations[i] = (this.incarnations[i] ?? 0) + 1;
     const incarnation = String(this.incarnations[i]).padStart(4, '0');
-    this.guards[i] = new GuardBrain({box: `box-${i}`, incarnation});
+    this.guards[i] = new GuardStateMachine({box: `box-${i}`, incarnation});
     this.handleGuardEvent(i, {
       kind: 'services-changed',
       services: [
@@ -194,7 +194,7 @@
   }
 
   private handleGuardEvent(i: number, event: GuardEvent): void {
-    const guard = this.guards[i] as GuardBrain;
+    const guard = this.guards[i] as GuardStateMachine;
     const actions = guard.handle(this.now, this.random, event);
     actions.forEach((action) => this.performAction(i, action));
   }
--- a/packages/brain/src/__tests__/__fixtures__/guardWorld.ts
+++ b/packages/brain/src/__tests__/__fixtures__/guardWorld.ts
@@ -5,7 +5,7 @@
 import type {RetryAllowance} from '@lockpin/routing';
 import type {Resource} from '@lockpin/types';
 import {seededRandom} from '@lockpin/utils';
-import {GuardBrain} from '../../guard/guardBrain.js';
+import {GuardStateMachine} from '../../guard/guardStateMachine.js';
 import {DEFAULT_GUARD_SETTINGS} from '../../guard/guardMessages.js';
 import type {GuardAction, GuardCall} from '../../guard/guardMessages.js';
 
@@ -22,7 +22,7 @@
     slots = 1,
     createRetryBudget: () => RetryAllowance = () => UNLIMITED_RETRIES,
     heldUpCalls: () => number = () => 0,
-    private readonly guard = new GuardBrain(
+    private readonly guard = new GuardStateMachine(
       {box: 'box', incarnation: 'a'},
       {
         ...DEFAULT_GUARD_SETTINGS,
@@ -60,7 +60,9 @@
     });
   }
 
-  tell(event: Parameters<GuardBrain['handle']>[2]): readonly GuardAction[] {
+  tell(
+    event: Parameters<GuardStateMachine['handle']>[2],
+  ): readonly GuardAction[] {
     return this.guard
       .handle(this.now, random, event)
       .filter(({kind}) => kind !== 'report');
--- a/packages/brain/src/__tests__/crashedUpstreams.test.ts
+++ b/packages/brain/src/__tests__/crashedUpstreams.test.ts
@@ -2,7 +2,7 @@
 /** Tests upstreams whose processes exit, restart, or crash on a request. */
 
 import {describe, expect, it} from 'vitest';
-import {GuardBrain} from '../guard/guardBrain.js';
+import {GuardStateMachine} from '../guard/guardStateMachine.js';
 import {DEFAULT_GUARD_SETTINGS} from '../guard/guardMessages.js';
 import type {GuardAction} from '../guard/guardMessages.js';
 import {GuardWorld, UPSTREAM, reasonOf} from './__fixtures__/guardWorld.js';
@@ -141,7 +141,7 @@
 
 describe('a request in quarantine', () => {
   it('is refused at the go signal with the remaining quarantine time', () => {
-    const guard = new GuardBrain(
+    const guard = new GuardStateMachine(
       {box: 'box', incarnation: 'a'},
       {
         ...DEFAULT_GUARD_SETTINGS,
--- a/packages/brain/src/__tests__/entryTellsTheTruth.test.ts
+++ b/packages/brain/src/__tests__/entryTellsTheTruth.test.ts
@@ -11,7 +11,7 @@
 import {mintOnceKey, parseOnceKey} from '@lockpin/once';
 import {seededRandom} from '@lockpin/utils';
 import type {Refusal} from '@lockpin/types';
-import {EntryBrain} from '../entry/entryBrain.js';
+import {EntryStateMachine} from '../entry/entryStateMachine.js';
 import type {
   EntryAction,
   EntryCall,
@@ -164,7 +164,7 @@
         fc.boolean(),
         fc.array(reply, {minLength: 12, maxLength: 12}),
         (isOnce, isReplayable, isFirst, replies) => {
-          const entry = new EntryBrain('box-9', 'one', {
+          const entry = new EntryStateMachine('box-9', 'one', {
             isUsable: () => true,
             incarnation: () => 'a',
           });
--- a/packages/brain/src/__tests__/guardBrain.test.ts
+++ b/packages/brain/src/__tests__/guardBrain.test.ts
@@ -6,7 +6,7 @@
 import {seededRandom} from '@lockpin/utils';
 import type {Resource} from '@lockpin/types';
 import {WindowedRetryBudget} from '@lockpin/routing';
-import {GuardBrain} from '../guard/guardBrain.js';
+import {GuardStateMachine} from '../guard/guardStateMachine.js';
 import {DEFAULT_GUARD_SETTINGS} from '../guard/guardMessages.js';
 import type {GuardCall, GuardEvent} from '../guard/guardMessages.js';
 
@@ -38,8 +38,8 @@
   };
 }
 
-function createGuard(): GuardBrain {
-  const guard = new GuardBrain(HOME);
+function createGuard(): GuardStateMachine {
+  const guard = new GuardStateMachine(HOME);
   guard.handle(0, random, servicesChanged(createUpstream()));
   return guard;
 }
@@ -154,7 +154,7 @@
           extra: 1,
         })),
     };
-    const guard = new GuardBrain(HOME, settings);
+    const guard = new GuardStateMachine(HOME, settings);
     guard.handle(0, random, servicesChanged(createUpstream()));
     const offerRetry = (now: number, id: string) =>
       guard.handle(
--- a/packages/brain/src/__tests__/overdueCalls.test.ts
+++ b/packages/brain/src/__tests__/overdueCalls.test.ts
@@ -6,7 +6,7 @@
 import {WindowedRetryBudget, chooseByScore} from '@lockpin/routing';
 import {seededRandom} from '@lockpin/utils';
 import type {Refusal, Repetition, Resource} from '@lockpin/types';
-import {EntryBrain} from '../entry/entryBrain.js';
+import {EntryStateMachine} from '../entry/entryStateMachine.js';
 import type {EntryAction, EntryEvent} from '../entry/entryMessages.js';
 import {
   DEFAULT_ENTRY_SETTINGS,
@@ -53,7 +53,7 @@
 
 class EntryHarness {
   now = 0;
-  readonly entry: EntryBrain;
+  readonly entry: EntryStateMachine;
   private readonly view: ServiceView;
 
   constructor(boxes: readonly string[]) {
@@ -76,7 +76,7 @@
       upstreams: boxes.map(createUpstream),
       routes: [],
     };
-    this.entry = new EntryBrain(
+    this.entry = new EntryStateMachine(
       'entry',
       'd',
       {isUsable: () => true, incarnation: () => undefined},
--- a/packages/brain/src/__tests__/probation.test.ts
+++ b/packages/brain/src/__tests__/probation.test.ts
@@ -6,7 +6,7 @@
 import type {PeerBaseline} from '@lockpin/detection';
 import type {HolderReply} from '@lockpin/floor';
 import {DEFAULT_GUARD_SETTINGS} from '../guard/guardMessages.js';
-import {GuardBrain} from '../guard/guardBrain.js';
+import {GuardStateMachine} from '../guard/guardStateMachine.js';
 import {
   GuardWorld,
   SERVICE,
@@ -33,7 +33,7 @@
 /** Creates a guard whose upstream failed all calls and is now on probation. */
 function createUpstreamOnProbation(): GuardWorld {
   const identity = {box: 'box', incarnation: 'a'};
-  const guard = new GuardBrain(identity, DEFAULT_GUARD_SETTINGS);
+  const guard = new GuardStateMachine(identity, DEFAULT_GUARD_SETTINGS);
   const harness = new GuardWorld(4, undefined, undefined, guard);
   const fence = {era: 1, offset: 1};
   const reply = (decision: HolderReply['decision']) =>
--- a/packages/brain/src/__tests__/truthOfRefusals.test.ts
+++ b/packages/brain/src/__tests__/truthOfRefusals.test.ts
@@ -9,7 +9,7 @@
 import {mintOnceKey} from '@lockpin/once';
 import {seededRandom} from '@lockpin/utils';
 import type {Resource} from '@lockpin/types';
-import {GuardBrain} from '../guard/guardBrain.js';
+import {GuardStateMachine} from '../guard/guardStateMachine.js';
 import type {GuardAction, GuardEvent} from '../guard/guardMessages.js';
 
 const SERVICE = 'customer/service';
@@ -99,7 +99,7 @@
   readonly keysReportedNotRun = new Set<string>();
   answeredFromStore = 0;
   private now = 1_000_000;
-  private guard: GuardBrain;
+  private guard: GuardStateMachine;
   private readonly random = seededRandom(3);
   private readonly onceKeys: readonly string[];
   private readonly callIds: string[] = [];
@@ -154,8 +154,8 @@
     }
   }
 
-  private startGuard(state: 'in-service' | 'draining'): GuardBrain {
-    const guard = new GuardBrain({
+  private startGuard(state: 'in-service' | 'draining'): GuardStateMachine {
+    const guard = new GuardStateMachine({
       box: 'box',
       incarnation: String(this.incarnation),
     });
--- a/packages/brain/src/entry/entryBrain.ts
+++ b/packages/brain/src/entry/entryStateMachine.ts
@@ -29,7 +29,7 @@
 const OVER_SHARE_RETRY_MILLISECONDS = 100;
 
 /** Deterministic state machine: time and randomness come in with each event. */
-export class EntryBrain {
+export class EntryStateMachine {
   readonly loads: UpstreamLoads;
   private readonly retries: RetryPolicy;
   private readonly calls: CallRegistry;
--- a/packages/brain/src/guard/guardBrain.ts
+++ b/packages/brain/src/guard/guardStateMachine.ts
@@ -22,7 +22,7 @@
 import {UpstreamExitHandler} from './upstreamExitHandler.js';
 
 /** Deterministic: actions depend only on the state, now, random and event. */
-export class GuardBrain {
+export class GuardStateMachine {
   private readonly services: GuardedServices;
   private readonly reports: ReportSchedule;
   private readonly lifecycle: CallLifecycle;
--- a/packages/brain/src/index.ts
+++ b/packages/brain/src/index.ts
@@ -1,8 +1,8 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-export * from './entry/entryBrain.js';
+export * from './entry/entryStateMachine.js';
 export * from './entry/entryMessages.js';
 export * from './entry/entrySettings.js';
-export * from './guard/guardBrain.js';
+export * from './guard/guardStateMachine.js';
 export * from './guard/guardMessages.js';
 export type {DoubtReason} from './guard/quickDoubt.js';
 export {REPORT_INTERVAL_MILLISECONDS} from './guard/reportSchedule.js';
--- a/packages/node/src/__tests__/brokenAnswers.test.ts
+++ b/packages/node/src/__tests__/brokenAnswers.test.ts
@@ -4,7 +4,7 @@
 import {createServer} from 'node:net';
 import type {AddressInfo, Server, Socket} from 'node:net';
 import {afterEach, beforeEach, describe, expect, it} from 'vitest';
-import {GuardBrain} from '@lockpin/brain';
+import {GuardStateMachine} from '@lockpin/brain';
 import type {Repetition, Resource} from '@lockpin/types';
 import {seededRandom} from '@lockpin/utils';
 import {UpstreamPools} from '../connection/upstreamPools.js';
@@ -43,7 +43,7 @@
   service = new GuardService({
     clock: Date.now,
     random: seededRandom(1),
-    brain: new GuardBrain({box: 'box', incarnation: 'a'}),
+    brain: new GuardStateMachine({box: 'box', incarnation: 'a'}),
     pools,
     protocol: {
       callHeaders: ({head}) => head.headers,
--- a/packages/node/src/__tests__/guardService.test.ts
+++ b/packages/node/src/__tests__/guardService.test.ts
@@ -2,7 +2,7 @@
 /** The guard's side of exchanges, with a stand-in upstream over HTTP. */
 
 import {afterEach, beforeEach, describe, expect, it} from 'vitest';
-import {GuardBrain} from '@lockpin/brain';
+import {GuardStateMachine} from '@lockpin/brain';
 import {StandInUpstream} from '@lockpin/stand-ins';
 import {seededRandom} from '@lockpin/utils';
 import type {Resource} from '@lockpin/types';
@@ -39,7 +39,7 @@
   };
   pools = new UpstreamPools();
   pools.configure([resource]);
-  const brain = new GuardBrain({box: 'box', incarnation: 'a'});
+  const brain = new GuardStateMachine({box: 'box', incarnation: 'a'});
   service = new GuardService({
     clock: () => Date.now() + suspended,
     random,
--- a/packages/node/src/process/fleetBrains.ts
+++ b/packages/node/src/process/fleetBrains.ts
@@ -3,7 +3,7 @@
  * Creates the state machines of a node in a declared fleet from its settings.
  */
 
-import {EntryBrain, GuardBrain} from '@lockpin/brain';
+import {EntryStateMachine, GuardStateMachine} from '@lockpin/brain';
 import type {EntrySettings} from '@lockpin/brain';
 import {FleetBrain, longestReadFor} from '@lockpin/fleet';
 import type {ReadConfiguration} from '@lockpin/fleet';
@@ -25,8 +25,8 @@
 
 /** The state machines of both ends of a call on one box. */
 export interface CallBrains {
-  readonly guard: GuardBrain;
-  readonly entry: EntryBrain;
+  readonly guard: GuardStateMachine;
+  readonly entry: EntryStateMachine;
 }
 
 /** Creates the state machine that tracks the fleet. */
@@ -53,7 +53,7 @@
     ? (now: number, digest: string) =>
         context.fleet.suspects.remaining(now, digest)
     : () => 0;
-  const entry = new EntryBrain(
+  const entry = new EntryStateMachine(
     box,
     dataCentre,
     {isUsable: () => true, incarnation: () => undefined},
@@ -64,11 +64,11 @@
 
 function createGuard(
   {fleet, incarnation, startedAt, settings}: CallBrainsContext,
-  entry: EntryBrain,
+  entry: EntryStateMachine,
   quarantinedFor: EntrySettings['quarantinedFor'],
-): GuardBrain {
+): GuardStateMachine {
   const {box, isFirstStart, switchedOff} = settings();
-  return new GuardBrain(
+  return new GuardStateMachine(
     {box, incarnation},
     fleetGuardSettings(mechanismSwitch(switchedOff), {
       createRetryBudget: (service) =>
--- a/packages/node/src/process/fleetHost.ts
+++ b/packages/node/src/process/fleetHost.ts
@@ -1,7 +1,7 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
 /** Drives the state machines of a node in a declared fleet. */
 
-import type {EntryBrain, GuardBrain} from '@lockpin/brain';
+import type {EntryStateMachine, GuardStateMachine} from '@lockpin/brain';
 import {FleetRouting} from '@lockpin/fleet';
 import type {
   AnnouncementProblem,
@@ -41,8 +41,8 @@
 /** Runs the state machines of one node and performs their actions. */
 export class FleetHost {
   readonly fleet: FleetBrain;
-  readonly guard: GuardBrain;
-  readonly entry: EntryBrain;
+  readonly guard: GuardStateMachine;
+  readonly entry: EntryStateMachine;
   readonly limits: CustomerLimits;
   readonly keys: FleetKeys;
   private readonly store: FleetStoreCalls;
--- a/packages/node/src/process/nodeHost.ts
+++ b/packages/node/src/process/nodeHost.ts
@@ -1,7 +1,11 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
 /** Drives the state machines of a node and performs their actions. */
 
-import {ControlStateMachine, EntryBrain, GuardBrain} from '@lockpin/brain';
+import {
+  ControlStateMachine,
+  EntryStateMachine,
+  GuardStateMachine,
+} from '@lockpin/brain';
 import type {
   ChangeSettlement,
   ControlAction,
@@ -28,8 +32,8 @@
 /** Runs the state machines of one node and performs their actions. */
 export class NodeHost {
   readonly control: ControlStateMachine;
-  readonly guard: GuardBrain;
-  readonly entry: EntryBrain;
+  readonly guard: GuardStateMachine;
+  readonly entry: EntryStateMachine;
   private readonly pendingChanges = new Map<
     string,
     (settlement: ChangeSettlement) => void
@@ -54,8 +58,8 @@
       this.handle({kind: 'boxes-listed', boxes}),
     );
     this.control = new ControlStateMachine(identity, settings);
-    this.guard = new GuardBrain({box, incarnation});
-    this.entry = new EntryBrain(box, dataCentre, {
+    this.guard = new GuardStateMachine({box, incarnation});
+    this.entry = new EntryStateMachine(box, dataCentre, {
       isUsable: (name) => this.isBoxUsable(name),
       incarnation: (name) => this.incarnationOf(name),
     });
--- a/packages/node/src/request/entryServiceDependencies.ts
+++ b/packages/node/src/request/entryServiceDependencies.ts
@@ -1,7 +1,7 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
 /** The dependencies of the entry service. */
 
-import type {EntryBrain} from '@lockpin/brain';
+import type {EntryStateMachine} from '@lockpin/brain';
 import type {Admission} from '@lockpin/limits';
 import type {Logger} from '@lockpin/logger';
 import type {Clock, RandomSource, Repetition} from '@lockpin/types';
@@ -16,7 +16,7 @@
 export interface EntryServiceDependencies {
   readonly clock: Clock;
   readonly random: RandomSource;
-  readonly brain: EntryBrain;
+  readonly brain: EntryStateMachine;
   readonly logger: Logger;
   readonly metrics: NodeMetrics;
   readonly largestBodyBytes: () => number;
--- a/packages/node/src/request/guardService.ts
+++ b/packages/node/src/request/guardService.ts
@@ -4,7 +4,7 @@
 import type {
   DoubtReason,
   GuardAction,
-  GuardBrain,
+  GuardStateMachine,
   GuardEvent,
 } from '@lockpin/brain';
 import type {StoredAnswer} from '@lockpin/once';
@@ -36,7 +36,7 @@
 export interface GuardServiceDependencies {
   readonly clock: Clock;
   readonly random: RandomSource;
-  readonly brain: GuardBrain;
+  readonly brain: GuardStateMachine;
   readonly pools: UpstreamPools;
   readonly protocol?: UpstreamProtocol;
   /** Called at the end of every call. */
--- a/packages/node/src/request/upstreamDispatch.ts
+++ b/packages/node/src/request/upstreamDispatch.ts
@@ -3,7 +3,7 @@
 
 import type {IncomingHttpHeaders} from 'node:http';
 import {Readable} from 'node:stream';
-import type {GuardBrain, GuardEvent} from '@lockpin/brain';
+import type {GuardStateMachine, GuardEvent} from '@lockpin/brain';
 import type {Clock} from '@lockpin/types';
 import type {Dispatcher} from 'undici';
 import type {UpstreamPools} from '../connection/upstreamPools.js';
@@ -17,7 +17,7 @@
 /** What the dispatch needs from the guard service. */
 export interface UpstreamDispatchDependencies {
   readonly clock: Clock;
-  readonly brain: GuardBrain;
+  readonly brain: GuardStateMachine;
   readonly pools: UpstreamPools;
   readonly protocol?: UpstreamProtocol;
   /** Passes an event to the decision logic and performs its actions. */
--- a/packages/tools/src/capacity/decisionSlopes.ts
+++ b/packages/tools/src/capacity/decisionSlopes.ts
@@ -1,7 +1,7 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
 /** Processor time and memory of single decisions. */
 
-import {EntryBrain, GuardBrain} from '@lockpin/brain';
+import {EntryStateMachine, GuardStateMachine} from '@lockpin/brain';
 import type {EntryCall, GuardCall} from '@lockpin/brain';
 import {FIRST_FENCE, PermitHolder} from '@lockpin/floor';
 import type {GuardReport} from '@lockpin/floor';
@@ -77,7 +77,7 @@
 
 function measureEntry(): number {
   const view = averageService();
-  const brain = new EntryBrain('box-0', 'data-centre-0', {
+  const brain = new EntryStateMachine('box-0', 'data-centre-0', {
     isUsable: () => true,
     incarnation: () => 'i0',
   });
@@ -113,7 +113,7 @@
 function measureGuard(): number {
   const view = averageService();
   const [upstream] = view.upstreams;
-  const brain = new GuardBrain(HOME);
+  const brain = new GuardStateMachine(HOME);
   brain.handle(0, random, {
     kind: 'services-changed',
     services: [
--- a/packages/tools/src/measure/measuredService.ts
+++ b/packages/tools/src/measure/measuredService.ts
@@ -1,7 +1,7 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
 /** The service that is measured: its view and its guards. */
 
-import {GuardBrain} from '@lockpin/brain';
+import {GuardStateMachine} from '@lockpin/brain';
 import {
   ConfigurationState,
   foldChange,
@@ -21,9 +21,9 @@
   service: MeasuredService,
   upstream: ServiceView['upstreams'][number],
   i: number,
-): GuardBrain {
+): GuardStateMachine {
   const random = seededRandom(i);
-  const guard = new GuardBrain({box: `box-${i}`, incarnation: 'a'});
+  const guard = new GuardStateMachine({box: `box-${i}`, incarnation: 'a'});
   const {sensitivity} = service;
   const services = [{name: SERVICE, sensitivity, upstreams: [upstream]}];
   guard.handle(0, random, {kind: 'services-changed', services});
--- a/packages/tools/src/measure/serviceRun.ts
+++ b/packages/tools/src/measure/serviceRun.ts
@@ -1,14 +1,14 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
 /** One service under one fault: real entries, guards and permit holder on a virtual clock. */
 
-import {EntryBrain} from '@lockpin/brain';
+import {EntryStateMachine} from '@lockpin/brain';
 import type {
   Attempt,
   EntryAction,
   EntryCall,
   EntryEvent,
   GuardAction,
-  GuardBrain,
+  GuardStateMachine,
   GuardEvent,
 } from '@lockpin/brain';
 import type {ServiceView} from '@lockpin/configuration';
@@ -40,8 +40,8 @@
   private readonly clock = new VirtualClock();
   private readonly random: RandomSource;
   private readonly view: ServiceView;
-  private readonly entries: readonly EntryBrain[];
-  private readonly guards: readonly GuardBrain[];
+  private readonly entries: readonly EntryStateMachine[];
+  private readonly guards: readonly GuardStateMachine[];
   private readonly models: readonly UpstreamModel[];
   private readonly holder: PermitHolder;
   private readonly entryOfCall = new Map<string, number>();
@@ -64,7 +64,7 @@
     this.entries = Array.from(
       {length: service.entries},
       (_, i) =>
-        new EntryBrain(`entry-${i}`, `dc-${i % service.dataCentres}`, {
+        new EntryStateMachine(`entry-${i}`, `dc-${i % service.dataCentres}`, {
           isUsable: () => true,
           incarnation: () => 'a',
         }),
@@ -227,7 +227,7 @@
   }
 
   private tellGuard(i: number, event: GuardEvent): void {
-    const guard = this.guards[i] as GuardBrain;
+    const guard = this.guards[i] as GuardStateMachine;
     const actions = guard.handle(this.clock.now, this.random, event);
     actions.forEach((action) => this.performGuard(i, action));
   }
