--- a/packages/fleet/src/__tests__/__fixtures__/brainWorld.ts
+++ b/packages/fleet/src/__tests__/__fixtures__/brainWorld.ts
@@ -5,7 +5,7 @@
 import {failure, seededRandom, success} from '@lockpin/utils';
 import type {BoxRecord} from '../../boxRecord.js';
 import type {DeclaredConfiguration} from '../../declaredConfiguration.js';
-import {FleetBrain} from '../../fleetBrain.js';
+import {FleetStateMachine} from '../../fleetStateMachine.js';
 import type {FleetAction, FleetEvent} from '../../fleetMessages.js';
 import type {UpstreamAnnouncement} from '../../ownUpstream.js';
 import type {RecordStream, StoredRecord} from '../../recordStore.js';
@@ -80,7 +80,7 @@
 /** A fleet state machine and its clock. */
 export class BrainWorld {
   now = 1000;
-  readonly brain = new FleetBrain(IDENTITY, (record) => {
+  readonly brain = new FleetStateMachine(IDENTITY, (record) => {
     const version = Number(record.value?.toString());
     if (record.key !== 'config') {
       return success(undefined);
@@ -142,9 +142,9 @@
     const actions = this.read('boxes', boxes);
     const peerReply = {configuration: undefined, boxes: []};
     for (const action of actions) {
-      if (action.kind === 'ask-peer') {
+      if (action.kind === 'query-peer') {
         const {address} = action;
-        this.tell({kind: 'peer-replied', address, knowledge: peerReply});
+        this.tell({kind: 'peer-replied', address, reply: peerReply});
       }
     }
   }
@@ -159,7 +159,7 @@
     this.announce();
     this.tell({kind: 'write-ended', result: WRITTEN});
     this.tick();
-    expect(this.brain.duty.isFollowing(this.now)).toBe(true);
+    expect(this.brain.readerRole.isReadingStore(this.now)).toBe(true);
   }
 
   tick(milliseconds = 0) {
--- a/packages/fleet/src/__tests__/__fixtures__/fleetWorld.ts
+++ b/packages/fleet/src/__tests__/__fixtures__/fleetWorld.ts
@@ -5,8 +5,12 @@
 import type {RandomSource} from '@lockpin/types';
 import type {BoxRecord} from '../../boxRecord.js';
 import type {DeclaredConfiguration} from '../../declaredConfiguration.js';
-import {FleetBrain} from '../../fleetBrain.js';
-import type {FleetAction, FleetEvent, FleetNews} from '../../fleetMessages.js';
+import {FleetStateMachine} from '../../fleetStateMachine.js';
+import type {
+  FleetAction,
+  FleetEvent,
+  FleetUpdate,
+} from '../../fleetMessages.js';
 import type {FollowedPeers} from '../../nodeIdentity.js';
 import type {StreamRead} from '../../streamFollower.js';
 import {PlayedStore} from './playedStore.js';
@@ -35,7 +39,7 @@
   readonly box: string;
   readonly dataCentre: string;
   readonly address: string;
-  stateMachine: FleetBrain;
+  stateMachine: FleetStateMachine;
   /** Counts the processes; messages to an earlier one are dropped. */
   processNumber: number;
   isUp: boolean;
@@ -84,7 +88,8 @@
   /** Whether each node's entry has a stream to each guard, or to none. */
   entriesHear = false;
   /** Called for each update that one box sends to another. */
-  onNews: (from: string, to: string, news: FleetNews) => void = () => undefined;
+  onNews: (from: string, to: string, news: FleetUpdate) => void = () =>
+    undefined;
   private now = EPOCH;
   private order = 0;
   private tasks: ScheduledTask[] = [];
@@ -172,7 +177,7 @@
 
   isReader(box: string): boolean {
     const node = this.node(box);
-    return node.isUp && node.stateMachine.duty.isFollowing(this.now);
+    return node.isUp && node.stateMachine.readerRole.isReadingStore(this.now);
   }
 
   readers(): readonly string[] {
@@ -369,11 +374,11 @@
   private createStateMachine(
     {box, dataCentre, address}: Omit<Node, 'stateMachine'>,
     isFirst: boolean,
-  ): FleetBrain {
-    return new FleetBrain(
+  ): FleetStateMachine {
+    return new FleetStateMachine(
       {box, dataCentre, peerAddress: address},
       ({value}) => success(configuration(Number(value?.toString()))),
-      {isFirst},
+      {isFirstStart: isFirst},
     );
   }
 
@@ -426,7 +431,7 @@
       }
       this.send(node, peer, () => {
         peer.followers.add(node.box);
-        this.handleEvent(peer, {kind: 'follower-came'});
+        this.handleEvent(peer, {kind: 'follower-added'});
       });
     }
   }
@@ -468,29 +473,29 @@
       case 'write':
         this.write(node, action.record);
         break;
-      case 'write-for':
+      case 'write-on-behalf':
         this.store.append('boxes', action.record);
         break;
-      case 'drop-record':
+      case 'delete-record':
         this.store.append('boxes', {key: action.key, value: undefined});
         break;
-      case 'ask-peer':
+      case 'query-peer':
         this.query(node, action);
         break;
       case 'follow-peers':
         this.follow(node, action.peers);
         break;
-      case 'tell-followers':
+      case 'notify-followers':
         node.followers.forEach((box) => {
           this.sendUpdate(node, this.node(box), action.news);
         });
         break;
-      case 'tell-entries':
+      case 'notify-entries':
         if (this.entriesHear) {
           this.sendUpdateToAll(node, action.news);
         }
         break;
-      case 'tell-nodes':
+      case 'notify-nodes':
         action.addresses.forEach((address) => {
           const other = this.nodeAt(address);
           if (other !== undefined) {
@@ -507,12 +512,14 @@
     }
   }
 
-  private sendUpdate(from: Node, to: Node, news: FleetNews): void {
+  private sendUpdate(from: Node, to: Node, news: FleetUpdate): void {
     this.onNews(from.box, to.box, news);
-    this.send(from, to, () => this.handleEvent(to, {kind: 'news-told', news}));
+    this.send(from, to, () =>
+      this.handleEvent(to, {kind: 'update-received', news}),
+    );
   }
 
-  private sendUpdateToAll(node: Node, news: FleetNews): void {
+  private sendUpdateToAll(node: Node, news: FleetUpdate): void {
     for (const other of this.nodes.values()) {
       if (other !== node) {
         this.sendUpdate(node, other, news);
@@ -555,24 +562,26 @@
     const {version} = from.stateMachine;
     const {address} = from;
     this.send(from, to, () =>
-      this.handleEvent(to, {kind: 'peer-version-heard', address, version}),
+      this.handleEvent(to, {kind: 'peer-version-reported', address, version}),
     );
   }
 
   private query(
     node: Node,
-    {address, question: peerQuery}: FleetAction & {readonly kind: 'ask-peer'},
+    {address, query: peerQuery}: FleetAction & {readonly kind: 'query-peer'},
   ): void {
     const peer = this.nodeAt(address);
     const processNumber = node.processNumber;
     let hasEnded = false;
-    const finish = (peerReply?: ReturnType<FleetBrain['answer']>): void => {
+    const finish = (
+      peerReply?: ReturnType<FleetStateMachine['answer']>,
+    ): void => {
       if (!hasEnded && node.processNumber === processNumber) {
         hasEnded = true;
         this.handleEvent(node, {
           kind: 'peer-replied',
           address,
-          knowledge: peerReply,
+          reply: peerReply,
         });
       }
     };
--- a/packages/fleet/src/__tests__/customerTable.test.ts
+++ b/packages/fleet/src/__tests__/customerTable.test.ts
@@ -9,7 +9,7 @@
   DeclaredConfiguration,
   DeclaredCustomer,
 } from '../declaredConfiguration.js';
-import {longestReadFor, mayServeKnownKeys} from '../keyTrust.js';
+import {maximumReadFor, mayAcceptKnownKeys} from '../keyPolicy.js';
 
 function customer(name: string, keys: readonly string[]): DeclaredCustomer {
   const keyHashes = keys.map(keyHash);
@@ -84,7 +84,7 @@
 
   it('requires no keys if no customer is declared', () => {
     const open = new CustomerTable([]);
-    expect(open.asksForKeys).toBe(false);
+    expect(open.requiresKeys).toBe(false);
     expect(open.customerOf(keyHash('a'), false)).toEqual({
       ok: true,
       value: undefined,
@@ -103,16 +103,16 @@
   const strict = {...lenient, refusesWhenOutdated: true};
 
   it('accepts known keys if operators configured it so', () => {
-    expect(mayServeKnownKeys(lenient, undefined)).toBe(true);
-    expect(mayServeKnownKeys(lenient, 60_000)).toBe(true);
-    expect(longestReadFor(lenient)).toBe(Infinity);
+    expect(mayAcceptKnownKeys(lenient, undefined)).toBe(true);
+    expect(mayAcceptKnownKeys(lenient, 60_000)).toBe(true);
+    expect(maximumReadFor(lenient)).toBe(Infinity);
   });
 
   it('refuses keys that may have been withdrawn if configured so', () => {
-    expect(mayServeKnownKeys(strict, 5000)).toBe(true);
-    expect(mayServeKnownKeys(strict, 5001)).toBe(false);
-    expect(mayServeKnownKeys(strict, undefined)).toBe(false);
-    expect(longestReadFor(strict)).toBe(2500);
+    expect(mayAcceptKnownKeys(strict, 5000)).toBe(true);
+    expect(mayAcceptKnownKeys(strict, 5001)).toBe(false);
+    expect(mayAcceptKnownKeys(strict, undefined)).toBe(false);
+    expect(maximumReadFor(strict)).toBe(2500);
   });
 });
 
--- a/packages/fleet/src/__tests__/fleetBrain.test.ts
+++ b/packages/fleet/src/__tests__/fleetBrain.test.ts
@@ -3,8 +3,8 @@
 
 import {describe, expect, it} from 'vitest';
 import {seededRandom, success} from '@lockpin/utils';
-import {RECORD_RENEWAL_MILLISECONDS, writeBoxRecord} from '../boxRecord.js';
-import {FleetBrain} from '../fleetBrain.js';
+import {RECORD_RENEWAL_MILLISECONDS, serializeBoxRecord} from '../boxRecord.js';
+import {FleetStateMachine} from '../fleetStateMachine.js';
 import {
   BrainWorld,
   FAR,
@@ -31,7 +31,10 @@
     harness.start([stored(7)]);
     const record = {key: 'config', value: Buffer.from('broken')};
     expect(harness.read('configuration', [record])).toContainEqual(
-      expect.objectContaining({kind: 'note', event: 'configuration-wrong'}),
+      expect.objectContaining({
+        kind: 'log-event',
+        event: 'configuration-wrong',
+      }),
     );
     expect(harness.brain.version).toBe(7);
   });
@@ -45,15 +48,15 @@
     harness.tick(200);
     harness.fail('configuration', 'unavailable');
     const [query] = harness.tell({
-      kind: 'peer-version-heard',
+      kind: 'peer-version-reported',
       address: 'peer',
       version: 2,
     });
-    expect(query).toMatchObject({kind: 'ask-peer', address: 'peer'});
+    expect(query).toMatchObject({kind: 'query-peer', address: 'peer'});
     const actions = harness.tell({
       kind: 'peer-replied',
       address: 'peer',
-      knowledge: {configuration: configuration(2), boxes: []},
+      reply: {configuration: configuration(2), boxes: []},
     });
     expect(actions).toMatchObject([{kind: 'configuration-changed'}]);
   });
@@ -64,29 +67,32 @@
     const far = other({box: 'b3', peerAddress: FAR, dataCentre: 'd2'});
     const records = [near, far].map((record) => ({
       key: record.box,
-      value: writeBoxRecord(record),
+      value: serializeBoxRecord(record),
     }));
     harness.start([stored(1)], records);
     harness.announceAsReader();
     const report = (address: string) =>
-      harness.tell({kind: 'peer-version-heard', address, version: 2});
+      harness.tell({kind: 'peer-version-reported', address, version: 2});
     expect(report(FAR)).toEqual([]);
     expect(report(NEAR)).toEqual([]);
-    expect(kinds(harness.tick(300))).not.toContain('ask-peer');
+    expect(kinds(harness.tick(300))).not.toContain('query-peer');
     expect(harness.tick(100)).toContainEqual(
-      expect.objectContaining({kind: 'ask-peer', address: NEAR}),
+      expect.objectContaining({kind: 'query-peer', address: NEAR}),
     );
   });
 
   it('is queried in another data centre only after local peers could have it', () => {
     const harness = new BrainWorld();
     const far = other({box: 'b3', peerAddress: FAR, dataCentre: 'd2'});
-    harness.start([stored(1)], [{key: far.box, value: writeBoxRecord(far)}]);
+    harness.start(
+      [stored(1)],
+      [{key: far.box, value: serializeBoxRecord(far)}],
+    );
     harness.announceAsReader();
-    harness.tell({kind: 'peer-version-heard', address: FAR, version: 2});
-    expect(kinds(harness.tick(400))).not.toContain('ask-peer');
+    harness.tell({kind: 'peer-version-reported', address: FAR, version: 2});
+    expect(kinds(harness.tick(400))).not.toContain('query-peer');
     expect(harness.tick(500)).toContainEqual(
-      expect.objectContaining({kind: 'ask-peer', address: FAR}),
+      expect.objectContaining({kind: 'query-peer', address: FAR}),
     );
   });
 
@@ -94,30 +100,30 @@
     const harness = new BrainWorld();
     harness.tick();
     harness.read('boxes', []);
-    harness.tell({kind: 'peer-version-heard', address: FAR, version: 2});
+    harness.tell({kind: 'peer-version-reported', address: FAR, version: 2});
     harness.read('configuration', [stored(2)]);
-    expect(kinds(harness.tick(1000))).not.toContain('ask-peer');
+    expect(kinds(harness.tick(1000))).not.toContain('query-peer');
   });
 
   it('is queried from one peer at startup, however many report it', () => {
     const harness = new BrainWorld();
     const actions = ['p1', 'p2', 'p3', 'p4'].flatMap((address) =>
-      harness.tell({kind: 'peer-version-heard', address, version: 2}),
+      harness.tell({kind: 'peer-version-reported', address, version: 2}),
     );
-    expect(kinds(actions)).toEqual(['ask-peer']);
+    expect(kinds(actions)).toEqual(['query-peer']);
   });
 
   it('is queried again from a peer that did not reply when it reports again', () => {
     const harness = new BrainWorld();
     const report = {
-      kind: 'peer-version-heard',
+      kind: 'peer-version-reported',
       address: 'peer',
       version: 2,
     } as const;
-    expect(kinds(harness.tell(report))).toEqual(['ask-peer']);
+    expect(kinds(harness.tell(report))).toEqual(['query-peer']);
     expect(harness.tell(report)).toEqual([]);
-    harness.tell({kind: 'peer-replied', address: 'peer', knowledge: undefined});
-    expect(kinds(harness.tell(report))).toEqual(['ask-peer']);
+    harness.tell({kind: 'peer-replied', address: 'peer', reply: undefined});
+    expect(kinds(harness.tell(report))).toEqual(['query-peer']);
   });
 
   it('is logged once when it is late, with the first reporter and the query counts', () => {
@@ -125,10 +131,10 @@
     harness.tick();
     harness.read('configuration', [stored(1)]);
     harness.read('boxes', []);
-    harness.tell({kind: 'peer-version-heard', address: FAR, version: 2});
+    harness.tell({kind: 'peer-version-reported', address: FAR, version: 2});
     harness.tick(600);
-    harness.tell({kind: 'peer-version-heard', address: NEAR, version: 3});
-    harness.tell({kind: 'peer-replied', address: FAR, knowledge: undefined});
+    harness.tell({kind: 'peer-version-reported', address: NEAR, version: 3});
+    harness.tell({kind: 'peer-replied', address: FAR, reply: undefined});
     const logged = [
       harness.tick(200),
       harness.tick(400),
@@ -136,12 +142,12 @@
     ].flatMap((actions) =>
       actions.filter(
         (action) =>
-          action.kind === 'note' && action.event === 'configuration-late',
+          action.kind === 'log-event' && action.event === 'configuration-late',
       ),
     );
     expect(logged).toEqual([
       {
-        kind: 'note',
+        kind: 'log-event',
         event: 'configuration-late',
         subject: '3',
         detail: {
@@ -165,54 +171,60 @@
   it('is queried when it was reported while a query to the reporter was pending', () => {
     const harness = new BrainWorld();
     const far = other({box: 'b3', peerAddress: FAR, dataCentre: 'd2'});
-    harness.start([stored(1)], [{key: far.box, value: writeBoxRecord(far)}]);
+    harness.start(
+      [stored(1)],
+      [{key: far.box, value: serializeBoxRecord(far)}],
+    );
     harness.announceAsReader();
     const report = (version: number) =>
-      harness.tell({kind: 'peer-version-heard', address: FAR, version});
+      harness.tell({kind: 'peer-version-reported', address: FAR, version});
     report(2);
-    expect(kinds(harness.tick(1000))).toContain('ask-peer');
+    expect(kinds(harness.tick(1000))).toContain('query-peer');
     report(3);
     harness.tell({
       kind: 'peer-replied',
       address: FAR,
-      knowledge: {configuration: configuration(2), boxes: []},
+      reply: {configuration: configuration(2), boxes: []},
     });
     const actions = [harness.tick(500), harness.tick(500)].flat();
     expect(actions).toContainEqual(
-      expect.objectContaining({kind: 'ask-peer', address: FAR}),
+      expect.objectContaining({kind: 'query-peer', address: FAR}),
     );
   });
 
   it('is queried again when the query was lost and no other peer has it', () => {
     const harness = new BrainWorld();
     const far = other({box: 'b3', peerAddress: FAR, dataCentre: 'd2'});
-    harness.start([stored(1)], [{key: far.box, value: writeBoxRecord(far)}]);
+    harness.start(
+      [stored(1)],
+      [{key: far.box, value: serializeBoxRecord(far)}],
+    );
     harness.announceAsReader();
-    harness.tell({kind: 'peer-version-heard', address: FAR, version: 2});
-    expect(kinds(harness.tick(1000))).toContain('ask-peer');
-    harness.tell({kind: 'peer-replied', address: FAR, knowledge: undefined});
+    harness.tell({kind: 'peer-version-reported', address: FAR, version: 2});
+    expect(kinds(harness.tick(1000))).toContain('query-peer');
+    harness.tell({kind: 'peer-replied', address: FAR, reply: undefined});
     const actions = [harness.tick(500), harness.tick(500)].flat();
     expect(actions).toContainEqual(
-      expect.objectContaining({kind: 'ask-peer', address: FAR}),
+      expect.objectContaining({kind: 'query-peer', address: FAR}),
     );
   });
 
   describe('of a starting node', () => {
     const peer = other({box: 'b2', peerAddress: NEAR});
-    const boxes = [{key: peer.box, value: writeBoxRecord(peer)}];
+    const boxes = [{key: peer.box, value: serializeBoxRecord(peer)}];
 
     it("is a peer's version if that is newer than the store's", () => {
       const harness = new BrainWorld();
       harness.tick();
       harness.read('configuration', [stored(1)]);
       expect(harness.read('boxes', boxes)).toContainEqual(
-        expect.objectContaining({kind: 'ask-peer', address: NEAR}),
+        expect.objectContaining({kind: 'query-peer', address: NEAR}),
       );
       expect(harness.brain.version).toBe(0);
       const actions = harness.tell({
         kind: 'peer-replied',
         address: NEAR,
-        knowledge: {configuration: configuration(2), boxes: []},
+        reply: {configuration: configuration(2), boxes: []},
       });
       expect(
         actions.flatMap((action) =>
@@ -248,10 +260,10 @@
   it('is queried from peers without a report while the store is unavailable', () => {
     const harness = new BrainWorld();
     harness.tick();
-    const record = {key: 'b2', value: writeBoxRecord(other())};
+    const record = {key: 'b2', value: serializeBoxRecord(other())};
     harness.read('boxes', [record]);
     expect(kinds(harness.fail('configuration', 'unavailable'))).toContain(
-      'ask-peer',
+      'query-peer',
     );
   });
 });
@@ -262,8 +274,8 @@
     harness.tick();
     const newer = other({takesWork: false, statedAt: 20});
     harness.read('boxes', [
-      {key: 'b2', value: writeBoxRecord(newer)},
-      {key: 'b2', value: writeBoxRecord(other())},
+      {key: 'b2', value: serializeBoxRecord(newer)},
+      {key: 'b2', value: serializeBoxRecord(other())},
     ]);
     expect(harness.brain.directory.get('b2')?.takesWork).toBe(false);
   });
@@ -271,14 +283,14 @@
   it('expire when they do not renew their records', () => {
     const harness = new BrainWorld();
     harness.tick();
-    harness.read('boxes', [{key: 'b2', value: writeBoxRecord(other())}]);
+    harness.read('boxes', [{key: 'b2', value: serializeBoxRecord(other())}]);
     harness.tick(3 * RECORD_RENEWAL_MILLISECONDS + 2000);
     expect(harness.brain.directory.get('b2')).toBeUndefined();
   });
 
   it('are deleted from the store by one node only when they expire', () => {
     const deletions = ['b1', 'b3', 'b4'].map((box) => {
-      const stateMachine = new FleetBrain({...IDENTITY, box}, () =>
+      const stateMachine = new FleetStateMachine({...IDENTITY, box}, () =>
         success(undefined),
       );
       const renewedAt = 3 * RECORD_RENEWAL_MILLISECONDS;
@@ -289,9 +301,9 @@
       const event = {kind: 'tick'} as const;
       return stateMachine
         .handle(renewedAt + 2000, seededRandom(3), event)
-        .filter(({kind}) => kind === 'drop-record');
+        .filter(({kind}) => kind === 'delete-record');
     });
-    expect(deletions.flat()).toEqual([{kind: 'drop-record', key: 'b2'}]);
+    expect(deletions.flat()).toEqual([{kind: 'delete-record', key: 'b2'}]);
   });
 
   it('are not added from a malformed record', () => {
--- a/packages/fleet/src/__tests__/fleetRouting.test.ts
+++ b/packages/fleet/src/__tests__/fleetRouting.test.ts
@@ -8,7 +8,7 @@
 import type {DeclaredConfiguration} from '../declaredConfiguration.js';
 import {FleetRouting} from '../fleetRouting.js';
 import {RouteTable} from '../routeTable.js';
-import {WeightedSpread} from '../weightedSpread.js';
+import {WeightedRoundRobin} from '../weightedRoundRobin.js';
 
 function route(host: string, pathPrefix: string, services = ['s']) {
   return {
@@ -88,7 +88,7 @@
             service: String(i),
             weight,
           }));
-          const roundRobin = new WeightedSpread(
+          const roundRobin = new WeightedRoundRobin(
             destinations,
             seededRandom(seed),
           );
--- a/packages/fleet/src/__tests__/otherWriters.test.ts
+++ b/packages/fleet/src/__tests__/otherWriters.test.ts
@@ -9,7 +9,7 @@
 import {describe, expect, it} from 'vitest';
 import {seededRandom, success} from '@lockpin/utils';
 import type {BoxRecord} from '../boxRecord.js';
-import {FleetBrain} from '../fleetBrain.js';
+import {FleetStateMachine} from '../fleetStateMachine.js';
 import type {FleetAction, FleetEvent} from '../fleetMessages.js';
 import type {StoredRecord} from '../recordStore.js';
 
@@ -46,7 +46,7 @@
 
 class Harness {
   now = NOW;
-  readonly stateMachine = new FleetBrain(
+  readonly stateMachine = new FleetStateMachine(
     IDENTITY,
     () =>
       success({
@@ -56,7 +56,7 @@
         limits: LIMITS,
         customers: [],
       } as never),
-    {isFirst: false, dataCentres: ['d1', 'd2']},
+    {isFirstStart: false, dataCentres: ['d1', 'd2']},
   );
 
   constructor() {
@@ -132,7 +132,7 @@
     const record = {...boxRecord({statedAt: NOW + 1}), ...change};
     const logged = harness
       .read([stored(record)])
-      .filter((action) => action.kind === 'note');
+      .filter((action) => action.kind === 'log-event');
     expect(logged).toMatchObject([{event: 'record-wrong', detail: {field}}]);
     harness.expectValidBoxUsed();
   });
@@ -140,7 +140,10 @@
   it('are also rejected when peers send them', () => {
     const harness = new Harness();
     const box = boxRecord({statedAt: NOW * 2, slots: 1});
-    harness.handle({kind: 'news-told', news: {kind: 'boxes', boxes: [box]}});
+    harness.handle({
+      kind: 'update-received',
+      news: {kind: 'boxes', boxes: [box]},
+    });
     harness.expectValidBoxUsed();
   });
 
--- a/packages/fleet/src/__tests__/runRelay.test.ts
+++ b/packages/fleet/src/__tests__/runRelay.test.ts
@@ -7,8 +7,8 @@
 import {describe, expect, it} from 'vitest';
 import {BoxDirectory} from '../boxDirectory.js';
 import type {BoxRecord} from '../boxRecord.js';
-import {firstReaders} from '../recordReaders.js';
-import {RunRelay} from '../runRelay.js';
+import {preferredReaders} from '../readerSelection.js';
+import {RelayTree} from '../relayTree.js';
 import {FleetWorld} from './__fixtures__/fleetWorld.js';
 
 /** Two trees, in each of which a node has at most three children. */
@@ -40,7 +40,7 @@
 
 function childrenOf(directory: BoxDirectory, box: string): readonly string[] {
   const {dataCentre, peerAddress} = directory.get(box) as BoxRecord;
-  return new RunRelay({box, dataCentre, peerAddress}, directory).followers;
+  return new RelayTree({box, dataCentre, peerAddress}, directory).children;
 }
 
 /** The boxes that a report of one box reaches if some forward nothing. */
@@ -73,7 +73,7 @@
     'reach all its nodes from either reader, and no others: %i boxes',
     (count) => {
       const directory = directoryOf(count);
-      const readers = firstReaders(directory, 'd1').map(({box}) => box);
+      const readers = preferredReaders(directory, 'd1').map(({box}) => box);
       for (const reader of readers) {
         const all = boxesIn(directory, 'd1').filter(
           (box) => box === reader || !readers.includes(box),
@@ -96,7 +96,7 @@
 
   it('reach all other nodes if any one node is gone', () => {
     const directory = directoryOf(60);
-    const [reader = {box: ''}] = firstReaders(directory, 'd1');
+    const [reader = {box: ''}] = preferredReaders(directory, 'd1');
     const size = reachedFrom(directory, reader.box).size;
     for (const box of boxesIn(directory, 'd1')) {
       if (box !== reader.box) {
@@ -108,19 +108,22 @@
 
   it('follow boxes that change their address or data centre', () => {
     const directory = directoryOf(9);
-    const [reader = {box: ''}] = firstReaders(directory, 'd1');
+    const [reader = {box: ''}] = preferredReaders(directory, 'd1');
     const {dataCentre, peerAddress} = directory.get(reader.box) as BoxRecord;
-    const relay = new RunRelay({...reader, dataCentre, peerAddress}, directory);
-    const before = relay.followers;
-    expect(relay.followers).toBe(before);
+    const relay = new RelayTree(
+      {...reader, dataCentre, peerAddress},
+      directory,
+    );
+    const before = relay.children;
+    expect(relay.children).toBe(before);
     const moved = directory
       .all()
       .find((known) => known.peerAddress === before[0]) as BoxRecord;
     const address = '10.9.9.9:7000';
     directory.put({...moved, peerAddress: address, statedAt: 2});
-    expect(relay.followers).toContain(address);
+    expect(relay.children).toContain(address);
     directory.put({...moved, dataCentre: 'd2', statedAt: 3});
-    expect(relay.followers).not.toContain(address);
+    expect(relay.children).not.toContain(address);
   });
 });
 
--- a/packages/fleet/src/__tests__/storeTalk.test.ts
+++ b/packages/fleet/src/__tests__/storeTalk.test.ts
@@ -2,7 +2,7 @@
 /** How a node handles the store's answers, and answers that do not arrive. */
 
 import {describe, expect, it} from 'vitest';
-import {RECORD_RENEWAL_MILLISECONDS, writeBoxRecord} from '../boxRecord.js';
+import {RECORD_RENEWAL_MILLISECONDS, serializeBoxRecord} from '../boxRecord.js';
 import {
   BrainWorld,
   IDENTITY,
@@ -62,7 +62,7 @@
       ...harness.fail('boxes', 'unavailable'),
       ...harness.tick(2000),
       ...harness.read('boxes', []),
-    ].flatMap((action) => (action.kind === 'note' ? [action.event] : []));
+    ].flatMap((action) => (action.kind === 'log-event' ? [action.event] : []));
     expect(logged).toEqual(['store-lost', 'store-regained']);
   });
 });
@@ -78,7 +78,7 @@
       harness.tick(200),
     ].flat();
     expect(actions).toContainEqual({
-      kind: 'note',
+      kind: 'log-event',
       event: 'store-read-hung',
       subject: 'configuration',
       detail: {milliseconds: 600},
@@ -108,7 +108,7 @@
       result: {ok: true, value: page, era: 1},
     });
     expect(kinds(late)).toContain('configuration-changed');
-    expect(harness.brain.duty.storeAge(harness.now)).toBe(0);
+    expect(harness.brain.readerRole.storeAge(harness.now)).toBe(0);
   });
 
   it('is detected by the report of a peer, and a second read is started', () => {
@@ -119,7 +119,7 @@
     harness.announceAsReader();
     harness.tick(200);
     harness.now += 1000;
-    harness.tell({kind: 'peer-version-heard', address: NEAR, version: 2});
+    harness.tell({kind: 'peer-version-reported', address: NEAR, version: 2});
     expect(harness.tick(200)).toContainEqual(
       expect.objectContaining({
         kind: 'follow',
@@ -154,7 +154,7 @@
     harness.tell(page(2, 1));
     const actions = harness.tell(page(3, 2));
     expect(actions).toContainEqual({
-      kind: 'note',
+      kind: 'log-event',
       event: 'store-restored',
       subject: '2',
       detail: {before: 1, source: 'configuration'},
@@ -185,7 +185,7 @@
       },
     });
     expect(older).toContainEqual({
-      kind: 'note',
+      kind: 'log-event',
       event: 'configuration-older-in-store',
       subject: '3',
       detail: {version: 4},
@@ -199,7 +199,7 @@
     harness.tell(page(2, 2));
     const late = harness.tell(page(7, 1));
     expect(late).toContainEqual({
-      kind: 'note',
+      kind: 'log-event',
       event: 'store-answer-outdated',
       subject: 'configuration',
       detail: {era: 1, known: 2},
@@ -225,7 +225,7 @@
       result: {ok: false, failure, era: 5},
     });
     expect(actions).toContainEqual(
-      expect.objectContaining({kind: 'note', event: 'store-restored'}),
+      expect.objectContaining({kind: 'log-event', event: 'store-restored'}),
     );
   });
 });
@@ -245,7 +245,7 @@
     const harness = new BrainWorld();
     harness.tick();
     const before = other({...IDENTITY, statedAt: 900});
-    harness.read('boxes', [{key: 'b1', value: writeBoxRecord(before)}]);
+    harness.read('boxes', [{key: 'b1', value: serializeBoxRecord(before)}]);
     expect(kinds(harness.announce())).toEqual(['upstream-changed']);
   });
 
@@ -277,7 +277,7 @@
     const own = harness.brain.directory.get('b1');
     expect(own).toBeDefined();
     harness.tell({
-      kind: 'news-told',
+      kind: 'update-received',
       news: {kind: 'boxes', boxes: own === undefined ? [] : [own]},
     });
     expect(kinds(harness.tick(1000))).toContain('write');
@@ -294,7 +294,7 @@
     harness.tell({kind: 'write-ended', result: WRITTEN});
     const late = other({...IDENTITY, takesWork: true, statedAt: 1000});
     const actions = harness.read('boxes', [
-      {key: 'b1', value: writeBoxRecord(late)},
+      {key: 'b1', value: serializeBoxRecord(late)},
     ]);
     expect(kinds(actions)).toContain('write');
   });
@@ -303,7 +303,7 @@
     const harness = new BrainWorld();
     harness.tick();
     const before = other({...IDENTITY, statedAt: 900});
-    harness.read('boxes', [{key: 'b1', value: writeBoxRecord(before)}]);
+    harness.read('boxes', [{key: 'b1', value: serializeBoxRecord(before)}]);
     expect(kinds(harness.tick(5000))).not.toContain('write');
     expect(kinds(harness.tick(2000))).toContain('write');
     expect(harness.brain.directory.get('b1')?.takesWork).toBe(false);
--- a/packages/fleet/src/__tests__/streamFollower.test.ts
+++ b/packages/fleet/src/__tests__/streamFollower.test.ts
@@ -2,8 +2,8 @@
 /** How often nodes read the store, in small and large fleets. */
 
 import {describe, expect, it} from 'vitest';
-import {waitForTurn} from '../readingTurn.js';
-import type {ReadingTurn} from '../readingTurn.js';
+import {pollWait} from '../pollPhase.js';
+import type {PollPhase} from '../pollPhase.js';
 import {StreamFollower} from '../streamFollower.js';
 
 const pollPhaseOf = (readers: number) => ({readers, phase: 0.5});
@@ -90,7 +90,7 @@
     for (let phase = 0; phase < 1; phase += 0.1) {
       for (let now = 0; now < 10_000; now += 333) {
         expect(
-          waitForTurn(now, 'boxes', {readers: 34, phase}, maximum),
+          pollWait(now, 'boxes', {readers: 34, phase}, maximum),
         ).toBeLessThanOrEqual(maximum);
       }
     }
@@ -98,16 +98,11 @@
 });
 
 /** End times of one reader's long polls in ten minutes without updates. */
-function pollEndsOf(pollPhase: ReadingTurn): readonly number[] {
+function pollEndsOf(pollPhase: PollPhase): readonly number[] {
   const ends: number[] = [];
   let now = pollPhase.phase * 777;
   while (now < 600_000) {
-    now += waitForTurn(
-      now,
-      'configuration',
-      pollPhase,
-      Number.POSITIVE_INFINITY,
-    );
+    now += pollWait(now, 'configuration', pollPhase, Number.POSITIVE_INFINITY);
     ends.push(now);
   }
   return ends;
--- a/packages/fleet/src/__tests__/suspectReports.test.ts
+++ b/packages/fleet/src/__tests__/suspectReports.test.ts
@@ -28,7 +28,7 @@
     suspects.survived(NOW, 'b');
     suspects.learn(NOW, record('b1', ['a', 'b']));
     suspects.learn(NOW, record('b2', ['a', 'b']));
-    suspects.takeFindings(NOW);
+    suspects.takeActions(NOW);
     const reported = suspects.reports.filter(({hasCrashed}) => !hasCrashed);
     expect(reported.map(({digest}) => digest).sort()).toEqual(['a', 'b']);
   });
@@ -38,7 +38,7 @@
     suspects.crashed(NOW, ['a']);
     suspects.crashed(NOW + 1, ['b']);
     expect(suspects.reports.map(({digest}) => digest)).toEqual(['a', 'b']);
-    expect(suspects.takeHasMoreToTell()).toBe(true);
-    expect(suspects.takeHasMoreToTell()).toBe(false);
+    expect(suspects.takeHasChanges()).toBe(true);
+    expect(suspects.takeHasChanges()).toBe(false);
   });
 });
--- a/packages/fleet/src/ownBox.ts
+++ b/packages/fleet/src/announcementHandler.ts
@@ -7,13 +7,13 @@
 import type {DeclaredConfiguration} from './declaredConfiguration.js';
 import type {FleetAction} from './fleetMessages.js';
 import type {NodeIdentity} from './nodeIdentity.js';
-import {note} from './fleetNote.js';
+import {logEvent} from './logEvent.js';
 import type {OwnRecord} from './ownRecord.js';
 import type {OwnUpstreamTracker, UpstreamAnnouncement} from './ownUpstream.js';
 import type {StoreResult} from './recordStore.js';
 
 /** Dependencies of the handler. */
-export interface OwnBoxContext {
+export interface AnnouncementHandlerContext {
   readonly identity: NodeIdentity;
   readonly tracker: OwnUpstreamTracker;
   readonly record: OwnRecord;
@@ -23,8 +23,8 @@
 }
 
 /** Validates announcements, and writes the resulting changes to the store. */
-export class OwnBox {
-  constructor(private readonly context: OwnBoxContext) {}
+export class AnnouncementHandler {
+  constructor(private readonly context: AnnouncementHandlerContext) {}
 
   /**
    * An announcement arrived, from this box's upstream or from another writer.
@@ -72,6 +72,6 @@
       return [];
     }
     const {kind, detail} = result.failure;
-    return [note('own-record-not-written', identity.box, {kind, detail})];
+    return [logEvent('own-record-not-written', identity.box, {kind, detail})];
   }
 }
--- a/packages/fleet/src/boxDirectory.ts
+++ b/packages/fleet/src/boxDirectory.ts
@@ -3,7 +3,7 @@
 
 import type {Resource} from '@lockpin/types';
 import {STABLE_HASH_RANGE, readerRank, stableHash} from '@lockpin/utils';
-import {RECORD_LIFE_MILLISECONDS} from './boxRecord.js';
+import {RECORD_EXPIRY_MILLISECONDS} from './boxRecord.js';
 import type {BoxRecord} from './boxRecord.js';
 import type {NodeIdentity} from './nodeIdentity.js';
 
@@ -60,7 +60,7 @@
   }
 
   /** Boxes of undeclared services are neither called nor queried. */
-  declare(services: ReadonlySet<string>): void {
+  setDeclaredServices(services: ReadonlySet<string>): void {
     this.declared = services;
     this.invalidateTopology();
   }
@@ -112,7 +112,7 @@
     }
     this.nextExpiryCheckAt = now + EXPIRY_CHECK_MILLISECONDS;
     const expired = this.all().filter(
-      ({statedAt}) => now - statedAt > RECORD_LIFE_MILLISECONDS,
+      ({statedAt}) => now - statedAt > RECORD_EXPIRY_MILLISECONDS,
     );
     for (const record of expired) {
       this.remove(record);
--- a/packages/fleet/src/boxRecord.ts
+++ b/packages/fleet/src/boxRecord.ts
@@ -42,7 +42,7 @@
  * Whether a record holds run reports or lifts, which quarantine decisions rely
  * on.
  */
-export function tellsOfRuns({runs, lifts}: BoxRecord): boolean {
+export function hasQuarantineData({runs, lifts}: BoxRecord): boolean {
   return runs !== undefined || lifts !== undefined;
 }
 
@@ -50,13 +50,13 @@
  * A box that has not renewed its record for this long is expired. In a large
  * fleet boxes are replaced permanently several times a day.
  */
-export const RECORD_LIFE_MILLISECONDS = 900_000;
+export const RECORD_EXPIRY_MILLISECONDS = 900_000;
 
 /** Records are renewed at this age, so that two renewals in a row may fail. */
 export const RECORD_RENEWAL_MILLISECONDS = 300_000;
 
 /** Whether two records have the same content, apart from their times. */
-export function isSameStatement(a: BoxRecord, b: BoxRecord): boolean {
+export function hasSameContent(a: BoxRecord, b: BoxRecord): boolean {
   return (
     a.box === b.box &&
     a.dataCentre === b.dataCentre &&
@@ -71,6 +71,6 @@
 }
 
 /** Encodes a record for the store. */
-export function writeBoxRecord(record: BoxRecord): Buffer {
+export function serializeBoxRecord(record: BoxRecord): Buffer {
   return Buffer.from(JSON.stringify(record));
 }
--- a/packages/fleet/src/boxLearning.ts
+++ b/packages/fleet/src/boxRecordHandler.ts
@@ -4,19 +4,19 @@
 import type {Era} from '@lockpin/types';
 import {stableHash} from '@lockpin/utils';
 import type {BoxDirectory} from './boxDirectory.js';
-import {tellsOfRuns} from './boxRecord.js';
+import {hasQuarantineData} from './boxRecord.js';
 import type {BoxRecord} from './boxRecord.js';
-import {checkBoxRecord, readBoxRecord} from './checkBoxRecord.js';
+import {checkBoxRecord, parseBoxRecord} from './checkBoxRecord.js';
 import type {RecordContext, RecordProblem} from './checkBoxRecord.js';
-import type {FleetAction, FleetNews} from './fleetMessages.js';
+import type {FleetAction, FleetUpdate} from './fleetMessages.js';
 import type {NodeIdentity} from './nodeIdentity.js';
-import {note} from './fleetNote.js';
-import type {FollowerNews} from './followerNews.js';
-import {isForgotten} from './lostRecords.js';
+import {logEvent} from './logEvent.js';
+import type {FollowerUpdates} from './followerUpdates.js';
+import {isExpired} from './lostRecords.js';
 import type {LostRecords} from './lostRecords.js';
 import type {OwnRecord} from './ownRecord.js';
 import type {RecordPage} from './recordStore.js';
-import type {RunNews} from './runNews.js';
+import type {RunReportBroadcast} from './runReportBroadcast.js';
 import type {SuspectRequests} from './suspectRequests.js';
 
 /**
@@ -27,34 +27,34 @@
 const RECENT_MILLISECONDS = 60_000;
 
 /** The components that box records are passed to. */
-export interface BoxLearningContext {
+export interface BoxRecordHandlerContext {
   readonly identity: NodeIdentity;
   /** Data centres that boxes may name; any if empty. */
   readonly dataCentres: readonly string[];
   readonly directory: BoxDirectory;
   readonly ownRecord: OwnRecord;
-  readonly followerNews: FollowerNews;
+  readonly followerUpdates: FollowerUpdates;
   readonly suspects: SuspectRequests;
-  readonly runNews: RunNews;
+  readonly runReportBroadcast: RunReportBroadcast;
   readonly lostRecords: LostRecords;
   /**
    * Whether this node maintains records of departed boxes on behalf of all
    * readers.
    */
-  readonly actsForOthers: () => boolean;
+  readonly isMaintainer: () => boolean;
 }
 
 /**
  * Validates and applies records; an invalid record leaves the known state
  * unchanged.
  */
-export class BoxLearning {
+export class BoxRecordHandler {
   private invalid = 0;
 
-  constructor(private readonly context: BoxLearningContext) {}
+  constructor(private readonly context: BoxRecordHandlerContext) {}
 
   /** Invalid records since the process started. */
-  get wrongCount(): number {
+  get invalidCount(): number {
     return this.invalid;
   }
 
@@ -66,7 +66,7 @@
       if (value === undefined) {
         continue;
       }
-      const read = readBoxRecord(this.recordContext(now), key, value);
+      const read = parseBoxRecord(this.recordContext(now), key, value);
       if (read.ok) {
         records.push(read.value);
       } else {
@@ -85,12 +85,12 @@
     now: number,
     records: readonly BoxRecord[],
   ): readonly FleetAction[] {
-    const {lostRecords, actsForOthers: isMaintainer} = this.context;
-    lostRecords.readAll(now, records);
+    const {lostRecords, isMaintainer} = this.context;
+    lostRecords.snapshotRead(now, records);
     return isMaintainer()
       ? records
-          .filter((record) => isForgotten(now, record))
-          .map(({box}) => ({kind: 'drop-record', key: box}))
+          .filter((record) => isExpired(now, record))
+          .map(({box}) => ({kind: 'delete-record', key: box}))
       : [];
   }
 
@@ -101,9 +101,9 @@
   ): readonly FleetAction[] {
     const {identity, ownRecord, lostRecords} = this.context;
     if (record.box === identity.box) {
-      ownRecord.found(now, record, era);
+      ownRecord.storeReported(now, record, era);
     }
-    lostRecords.found(record);
+    lostRecords.storeReported(record);
     this.apply(now, record);
     return this.notifyOutdatedRecord(record);
   }
@@ -129,16 +129,15 @@
 
   /** Applies a valid record of this or another box. */
   put(now: number, record: BoxRecord): void {
-    const {
-      directory,
-      followerNews: followerUpdates,
-      suspects,
-      runNews: runReportBroadcast,
-    } = this.context;
+    const {directory, followerUpdates, suspects, runReportBroadcast} =
+      this.context;
     if (directory.put(record)) {
       suspects.learn(now, record);
-      if (tellsOfRuns(record) && now - record.statedAt < RECENT_MILLISECONDS) {
-        runReportBroadcast.learnt(record);
+      if (
+        hasQuarantineData(record) &&
+        now - record.statedAt < RECENT_MILLISECONDS
+      ) {
+        runReportBroadcast.enqueue(record);
       } else {
         followerUpdates.boxChanged(record);
       }
@@ -146,7 +145,7 @@
   }
 
   /** Expires boxes that have not renewed their records. */
-  forget(now: number): readonly FleetAction[] {
+  expire(now: number): readonly FleetAction[] {
     return this.context.directory
       .expire(now)
       .flatMap((box) => this.deleteRecord(box));
@@ -162,7 +161,7 @@
     const rank = (box: string): number => stableHash(`${box} ${key}`);
     const own = rank(identity.box);
     const isFirst = directory.all().every(({box}) => rank(box) <= own);
-    return isFirst ? [{kind: 'drop-record', key}] : [];
+    return isFirst ? [{kind: 'delete-record', key}] : [];
   }
 
   /**
@@ -171,9 +170,9 @@
   private handlePeerRecord(now: number, record: BoxRecord): void {
     const {identity, ownRecord, lostRecords} = this.context;
     if (record.box === identity.box) {
-      ownRecord.toldOf(now, record);
+      ownRecord.peerReported(now, record);
     } else {
-      lostRecords.learnt(now, record);
+      lostRecords.peerReported(now, record);
     }
     this.apply(now, record);
   }
@@ -182,7 +181,7 @@
     const {identity, suspects} = this.context;
     if (record.box === identity.box) {
       suspects.adopt(now, record);
-    } else if (!isForgotten(now, record)) {
+    } else if (!isExpired(now, record)) {
       this.put(now, record);
     }
   }
@@ -198,8 +197,10 @@
     if (!isOutdated || !isInOwnDataCentre || known.box === identity.box) {
       return [];
     }
-    const update: FleetNews = {kind: 'boxes', boxes: [record]};
-    return [{kind: 'tell-nodes', addresses: [known.peerAddress], news: update}];
+    const update: FleetUpdate = {kind: 'boxes', boxes: [record]};
+    return [
+      {kind: 'notify-nodes', addresses: [known.peerAddress], news: update},
+    ];
   }
 
   private recordContext(now: number): RecordContext {
@@ -219,6 +220,6 @@
     if (key === this.context.identity.box) {
       this.context.ownRecord.overwritten();
     }
-    return [note('record-wrong', key, {source, field, problem})];
+    return [logEvent('record-wrong', key, {source, field, problem})];
   }
 }
--- a/packages/fleet/src/checkBoxRecord.ts
+++ b/packages/fleet/src/checkBoxRecord.ts
@@ -24,7 +24,7 @@
 }
 
 /** Box clocks differ by seconds, and some may be set manually. */
-export const MOST_AHEAD_MILLISECONDS = 300_000;
+export const MAXIMUM_AHEAD_MILLISECONDS = 300_000;
 
 /** Upstreams warm up within minutes, not hours. */
 const MAXIMUM_COLD_MILLISECONDS = 3_600_000;
@@ -64,7 +64,7 @@
       ? undefined
       : 'must be a time at most one hour ahead',
   statedAt: (value, {now}) =>
-    isWithin(value, 0, now + MOST_AHEAD_MILLISECONDS)
+    isWithin(value, 0, now + MAXIMUM_AHEAD_MILLISECONDS)
       ? undefined
       : 'must be a time at most five minutes ahead',
   runs: (value) =>
@@ -82,7 +82,7 @@
 };
 
 /** Parses a stored record, or reports the first invalid field. */
-export function readBoxRecord(
+export function parseBoxRecord(
   context: RecordContext,
   key: string,
   bytes: Buffer,
@@ -172,5 +172,5 @@
     return false;
   }
   const {digest, at} = value as Fields;
-  return isName(digest) && isWithin(at, 0, now + MOST_AHEAD_MILLISECONDS);
+  return isName(digest) && isWithin(at, 0, now + MAXIMUM_AHEAD_MILLISECONDS);
 }
--- a/packages/fleet/src/configurationLearning.ts
+++ b/packages/fleet/src/configurationHandler.ts
@@ -9,35 +9,35 @@
 import type {ReadConfiguration} from './configurationInForce.js';
 import type {DeclaredConfiguration} from './declaredConfiguration.js';
 import type {FleetAction} from './fleetMessages.js';
-import type {PeerAsking} from './peerAsking.js';
+import type {PeerSelector} from './peerSelector.js';
 import type {RecordPage} from './recordStore.js';
-import {StartCheck} from './startCheck.js';
-import type {StoreDuty} from './storeDuty.js';
+import {StartupCheck} from './startupCheck.js';
+import type {StoreReaderRole} from './storeReaderRole.js';
 
 /**
  * Dependencies of the handler, and the components that newer versions are
  * passed to.
  */
-export interface ConfigurationLearningContext {
+export interface ConfigurationHandlerContext {
   readonly read: ReadConfiguration;
   readonly isFirstStart: boolean;
   readonly directory: BoxDirectory;
-  readonly duty: StoreDuty;
-  readonly peers: PeerAsking;
+  readonly readerRole: StoreReaderRole;
+  readonly peers: PeerSelector;
   /** Queries one peer for its configuration. */
-  readonly ask: (address: string) => readonly FleetAction[];
+  readonly queryPeer: (address: string) => readonly FleetAction[];
 }
 
 /**
  * Handles configurations from the store and from peers; the version never
  * decreases.
  */
-export class ConfigurationLearning {
+export class ConfigurationHandler {
   readonly inForce: ConfigurationInForce;
-  private readonly startupCheck: StartCheck;
+  private readonly startupCheck: StartupCheck;
 
-  constructor(private readonly context: ConfigurationLearningContext) {
-    this.startupCheck = new StartCheck(!context.isFirstStart);
+  constructor(private readonly context: ConfigurationHandlerContext) {
+    this.startupCheck = new StartupCheck(!context.isFirstStart);
     this.inForce = new ConfigurationInForce(
       context.read,
       () => this.startupCheck.isHolding,
@@ -47,10 +47,10 @@
   /** Handles documents read from the store. */
   fromStore(now: number, page: RecordPage): readonly FleetAction[] {
     const actions = page.records.flatMap((record) => [
-      ...this.inForce.take(record),
-      ...(page.isWhole ? this.inForce.noteIfOlder(record) : []),
+      ...this.inForce.acceptFromStore(record),
+      ...(page.isWhole ? this.inForce.logIfOlder(record) : []),
     ]);
-    if (this.inForce.hasHeldBack) {
+    if (this.inForce.hasPending) {
       this.startupCheck.held(now);
     }
     return this.applyVersionChange(actions);
@@ -65,7 +65,7 @@
     // The peer's first, since the store's may be older.
     return this.applyVersionChange([
       ...this.inForce.adopt(configuration, `peer ${address}`),
-      ...this.inForce.release(),
+      ...this.inForce.releasePending(),
     ]);
   }
 
@@ -78,7 +78,7 @@
   due(now: number, random: RandomSource): readonly FleetAction[] {
     const queries = this.queryPeersAtStart(now, random);
     const released = this.startupCheck.hasEnded(now)
-      ? this.applyVersionChange(this.inForce.release())
+      ? this.applyVersionChange(this.inForce.releasePending())
       : [];
     return [...queries, ...released];
   }
@@ -87,12 +87,12 @@
     now: number,
     random: RandomSource,
   ): readonly FleetAction[] {
-    const {duty: readerRole, peers, ask: queryPeer} = this.context;
-    if (!this.startupCheck.mayAsk || !readerRole.hasReadBoxes) {
+    const {readerRole, peers, queryPeer} = this.context;
+    if (!this.startupCheck.shouldQueryPeers || !readerRole.hasReadBoxes) {
       return [];
     }
-    const addresses = peers.atStart(random);
-    this.startupCheck.asked(now, addresses);
+    const addresses = peers.peersAtStart(random);
+    this.startupCheck.queriesSent(now, addresses);
     return addresses.flatMap((address) => queryPeer(address));
   }
 
@@ -101,11 +101,11 @@
     actions: readonly FleetAction[],
   ): readonly FleetAction[] {
     if (actions.some(({kind}) => kind === 'configuration-changed')) {
-      const {directory, duty: readerRole, peers} = this.context;
-      peers.versionCame(this.inForce.version);
-      readerRole.versionCame();
+      const {directory, readerRole, peers} = this.context;
+      peers.versionAdopted(this.inForce.version);
+      readerRole.versionAdopted();
       const services = this.inForce.current?.services ?? [];
-      directory.declare(new Set(services.map(({name}) => name)));
+      directory.setDeclaredServices(new Set(services.map(({name}) => name)));
     }
     return actions;
   }
--- a/packages/fleet/src/configurationInForce.ts
+++ b/packages/fleet/src/configurationInForce.ts
@@ -8,7 +8,7 @@
   DeclaredConfiguration,
 } from './declaredConfiguration.js';
 import type {FleetAction} from './fleetMessages.js';
-import {note} from './fleetNote.js';
+import {logEvent} from './logEvent.js';
 import type {StoredRecord} from './recordStore.js';
 
 /**
@@ -39,7 +39,7 @@
   }
 
   /** An invalid document leaves the version in force unchanged. */
-  take(record: StoredRecord): readonly FleetAction[] {
+  acceptFromStore(record: StoredRecord): readonly FleetAction[] {
     const read = this.read(record);
     if (!read.ok) {
       return [invalidConfiguration(record.key, read.failure)];
@@ -59,22 +59,22 @@
   }
 
   /** Alerts operators that the store has lost the version in force. */
-  noteIfOlder(record: StoredRecord): readonly FleetAction[] {
+  logIfOlder(record: StoredRecord): readonly FleetAction[] {
     const read = this.read(record);
     const stored = read.ok ? read.value?.version : undefined;
     const {version} = this;
     return stored === undefined || stored >= version
       ? []
-      : [note('configuration-older-in-store', String(stored), {version})];
+      : [logEvent('configuration-older-in-store', String(stored), {version})];
   }
 
   /** Whether a configuration from the store is waiting to come into force. */
-  get hasHeldBack(): boolean {
+  get hasPending(): boolean {
     return this.pending !== undefined;
   }
 
   /** Puts the waiting configuration in force, unless a newer one already is. */
-  release(): readonly FleetAction[] {
+  releasePending(): readonly FleetAction[] {
     const {pending} = this;
     this.pending = undefined;
     return pending === undefined ? [] : this.adopt(pending, 'store');
@@ -104,5 +104,5 @@
   key: string,
   {field, problem}: ConfigurationProblem,
 ): FleetAction {
-  return note('configuration-wrong', key, {field, problem});
+  return logEvent('configuration-wrong', key, {field, problem});
 }
--- a/packages/fleet/src/customerTable.ts
+++ b/packages/fleet/src/customerTable.ts
@@ -39,7 +39,7 @@
   }
 
   /** Whether callers need a key. */
-  get asksForKeys(): boolean {
+  get requiresKeys(): boolean {
     return this.customers.length > 0;
   }
 
@@ -63,7 +63,7 @@
     hash: string | undefined,
     isPublic: boolean,
   ): Result<DeclaredCustomer | undefined, RefusalReason> {
-    if (!this.asksForKeys || (hash === undefined && isPublic)) {
+    if (!this.requiresKeys || (hash === undefined && isPublic)) {
       return success(undefined);
     }
     if (hash === undefined) {
--- a/packages/fleet/src/fleetMessages.ts
+++ b/packages/fleet/src/fleetMessages.ts
@@ -9,7 +9,7 @@
   OwnUpstream,
   UpstreamAnnouncement,
 } from './ownUpstream.js';
-import type {ReaderReport} from './readerStanding.js';
+import type {ReaderReport} from './readerStatus.js';
 import type {FollowedPeers} from './nodeIdentity.js';
 import type {
   RecordPage,
@@ -20,7 +20,7 @@
 import type {StreamRead} from './streamFollower.js';
 
 /** A query to another node, sent when the store does not answer. */
-export interface PeerQuestion {
+export interface PeerQuery {
   /** Version of the querying node; 0 if it has none. */
   readonly version: number;
   /**
@@ -33,14 +33,14 @@
 }
 
 /** A node's reply to a query. */
-export interface PeerKnowledge {
+export interface PeerQueryReply {
   /** Only if newer than the querying node's. */
   readonly configuration: DeclaredConfiguration | undefined;
   readonly boxes: readonly BoxRecord[];
 }
 
 /** An update that a node pushes to its followers or to other nodes. */
-export type FleetNews =
+export type FleetUpdate =
   | {
       readonly kind: 'report';
       /** Where the sender can be queried. */
@@ -65,11 +65,11 @@
    * omitted.
    */
   | {readonly kind: 'tick'; readonly followers?: number}
-  | {readonly kind: 'follower-came'}
+  | {readonly kind: 'follower-added'}
   /** This node is about to stop; others should read the store. */
   | {readonly kind: 'leaving'}
   /** An update arrived from another node. */
-  | {readonly kind: 'news-told'; readonly news: FleetNews}
+  | {readonly kind: 'update-received'; readonly news: FleetUpdate}
   | {
       readonly kind: 'read-ended';
       readonly stream: RecordStream;
@@ -85,14 +85,14 @@
   /** An operator lifts the quarantine of a request. */
   | {readonly kind: 'quarantine-lifted'; readonly digest: string}
   /** A caller presented a key that is unknown in the version in force. */
-  | {readonly kind: 'unknown-key-shown'}
+  | {readonly kind: 'unknown-key-presented'}
   | {
       readonly kind: 'upstream-announced';
       readonly announcement: UpstreamAnnouncement;
     }
   /** A peer reported the version in force there. */
   | {
-      readonly kind: 'peer-version-heard';
+      readonly kind: 'peer-version-reported';
       readonly address: string;
       readonly version: number;
     }
@@ -100,7 +100,7 @@
       readonly kind: 'peer-replied';
       readonly address: string;
       /** Undefined if the peer did not reply. */
-      readonly knowledge: PeerKnowledge | undefined;
+      readonly reply: PeerQueryReply | undefined;
     };
 
 /** An output of the state machine. */
@@ -108,24 +108,24 @@
   | StreamRead
   | {readonly kind: 'write'; readonly record: StoredRecord}
   /** Delete the record of a departed box from the store. */
-  | {readonly kind: 'drop-record'; readonly key: string}
+  | {readonly kind: 'delete-record'; readonly key: string}
   /** Write the record of a departed box to the store again. */
-  | {readonly kind: 'write-for'; readonly record: StoredRecord}
+  | {readonly kind: 'write-on-behalf'; readonly record: StoredRecord}
   | {
-      readonly kind: 'ask-peer';
+      readonly kind: 'query-peer';
       readonly address: string;
-      readonly question: PeerQuestion;
+      readonly query: PeerQuery;
     }
   /** Follow exactly these nodes from now on. */
   | {readonly kind: 'follow-peers'; readonly peers: FollowedPeers}
-  | {readonly kind: 'tell-followers'; readonly news: FleetNews}
+  | {readonly kind: 'notify-followers'; readonly news: FleetUpdate}
   /** Notify the entries that send calls to this node immediately. */
-  | {readonly kind: 'tell-entries'; readonly news: FleetNews}
+  | {readonly kind: 'notify-entries'; readonly news: FleetUpdate}
   /** Notify the nodes at these addresses immediately. */
   | {
-      readonly kind: 'tell-nodes';
+      readonly kind: 'notify-nodes';
       readonly addresses: readonly string[];
-      readonly news: FleetNews;
+      readonly news: FleetUpdate;
     }
   /** No upstream may run this request. */
   | {readonly kind: 'request-quarantined'; readonly digest: string}
@@ -149,7 +149,7 @@
     }
   /** An event for the log and the timeline. */
   | {
-      readonly kind: 'note';
+      readonly kind: 'log-event';
       readonly event: string;
       readonly subject: string;
       readonly detail: Readonly<Record<string, string | number | boolean>>;
--- a/packages/fleet/src/fleetRouting.ts
+++ b/packages/fleet/src/fleetRouting.ts
@@ -10,7 +10,7 @@
   DeclaredRoute,
 } from './declaredConfiguration.js';
 import {RouteTable} from './routeTable.js';
-import {WeightedSpread} from './weightedSpread.js';
+import {WeightedRoundRobin} from './weightedRoundRobin.js';
 
 /** The route and the service of a call, both of the same version. */
 export interface RoutedCall {
@@ -26,7 +26,7 @@
   /** The customers of this version. */
   readonly customers: CustomerTable;
   private readonly table: RouteTable;
-  private readonly spreads = new Map<string, WeightedSpread>();
+  private readonly spreads = new Map<string, WeightedRoundRobin>();
   private readonly views = new Map<string, ServiceView>();
   private readonly mostConnections: ReadonlyMap<string, number>;
 
@@ -84,7 +84,7 @@
     if (known !== undefined && isSameSplit(known.destinations, destinations)) {
       return known.next();
     }
-    const made = new WeightedSpread(destinations, this.random);
+    const made = new WeightedRoundRobin(destinations, this.random);
     this.spreads.set(rules.name, made);
     return made.next();
   }
@@ -94,8 +94,8 @@
 const DEFAULT_CONNECTIONS = 100;
 
 function isSameSplit(
-  a: WeightedSpread['destinations'],
-  b: WeightedSpread['destinations'],
+  a: WeightedRoundRobin['destinations'],
+  b: WeightedRoundRobin['destinations'],
 ): boolean {
   return (
     a.length === b.length &&
--- a/packages/fleet/src/fleetBrain.ts
+++ b/packages/fleet/src/fleetStateMachine.ts
@@ -12,30 +12,34 @@
 import type {
   FleetAction,
   FleetEvent,
-  FleetNews,
-  PeerKnowledge,
-  PeerQuestion,
+  FleetUpdate,
+  PeerQueryReply,
+  PeerQuery,
 } from './fleetMessages.js';
-import {createFleetParts} from './fleetParts.js';
-import type {FleetParts, FleetStart} from './fleetParts.js';
+import {createFleetComponents} from './fleetComponents.js';
+import type {FleetComponents, FleetOptions} from './fleetComponents.js';
 import type {NodeIdentity} from './nodeIdentity.js';
 import type {OwnUpstreamTracker} from './ownUpstream.js';
-import type {StoreDuty} from './storeDuty.js';
+import type {StoreReaderRole} from './storeReaderRole.js';
 import type {StoreEra} from './storeEra.js';
 import type {SuspectRequests} from './suspectRequests.js';
 
 /** Handles events and returns the actions that follow from them. */
-export class FleetBrain {
-  private readonly components: FleetParts;
+export class FleetStateMachine {
+  private readonly components: FleetComponents;
   /** Actions caused by peers' queries; returned with the next event. */
   private readonly deferredActions: FleetAction[] = [];
 
   constructor(
     private readonly identity: NodeIdentity,
     readConfiguration: ReadConfiguration,
-    options: FleetStart = {isFirst: false},
+    options: FleetOptions = {isFirstStart: false},
   ) {
-    this.components = createFleetParts(identity, readConfiguration, options);
+    this.components = createFleetComponents(
+      identity,
+      readConfiguration,
+      options,
+    );
   }
 
   /** All known boxes. */
@@ -49,8 +53,8 @@
   }
 
   /** This node's role in reading the store. */
-  get duty(): StoreDuty {
-    return this.components.duty;
+  get readerRole(): StoreReaderRole {
+    return this.components.readerRole;
   }
 
   /** Requests suspected of crashing upstreams. */
@@ -60,20 +64,20 @@
 
   /** Tracks restores of the store, as far as this node knows. */
   get storeEra(): StoreEra {
-    return this.components.storeAnswers.era;
+    return this.components.eraCheck.era;
   }
 
   /** Invalid records found since the process started. */
-  get wrongRecordCount(): number {
-    return this.components.boxes.wrongCount;
+  get invalidRecordCount(): number {
+    return this.components.boxes.invalidCount;
   }
 
   get configuration(): DeclaredConfiguration | undefined {
-    return this.components.learning.inForce.current;
+    return this.components.configurationHandler.inForce.current;
   }
 
   get version(): number {
-    return this.components.learning.inForce.version;
+    return this.components.configurationHandler.inForce.version;
   }
 
   handle(
@@ -83,7 +87,7 @@
   ): readonly FleetAction[] {
     const deferred = this.deferredActions.splice(0);
     const actions = [...deferred, ...this.decide(now, random, event)];
-    const quarantineActions = this.suspects.takeFindings(now);
+    const quarantineActions = this.suspects.takeActions(now);
     return [...actions, ...quarantineActions, ...this.broadcastRunReports(now)];
   }
 
@@ -95,21 +99,21 @@
     switch (event.kind) {
       case 'tick':
         return this.tick(now, random, event.followers ?? 0);
-      case 'follower-came':
-        this.components.followerNews.followerCame();
+      case 'follower-added':
+        this.components.followerUpdates.followerAdded();
         return [];
       case 'leaving':
-        this.duty.leave();
+        this.readerRole.leave();
         return [];
-      case 'news-told':
+      case 'update-received':
         return this.updateReceived(now, random, event.news);
       case 'read-ended':
         return [
-          ...this.components.storeResults.readEnded(now, random, event),
+          ...this.components.storeResultHandler.readEnded(now, random, event),
           ...this.advance(now, random),
         ];
       case 'write-ended':
-        return this.components.storeResults.writeEnded(now, event.result);
+        return this.components.storeResultHandler.writeEnded(now, event.result);
       case 'runs-crashed':
         this.suspects.crashed(now, event.digests, this.own.upstream?.program);
         return [];
@@ -119,57 +123,60 @@
       case 'quarantine-lifted':
         this.suspects.lift(now, event.digest);
         return [];
-      case 'unknown-key-shown':
+      case 'unknown-key-presented':
         return this.queryForKeys(now);
       case 'upstream-announced':
-        return this.components.ownBox.announced(now, event.announcement);
-      case 'peer-version-heard':
-        return this.components.questions.versionHeard(
+        return this.components.announcementHandler.announced(
+          now,
+          event.announcement,
+        );
+      case 'peer-version-reported':
+        return this.components.questions.versionReported(
           now,
           random,
           event.address,
           event.version,
         );
       case 'peer-replied':
-        this.components.questions.ended(event.address, event.knowledge);
-        this.components.learning.replied(event.address);
+        this.components.questions.queryEnded(event.address, event.reply);
+        this.components.configurationHandler.replied(event.address);
         return [
-          ...this.learnFromPeer(now, event.address, event.knowledge),
-          ...this.components.learning.due(now, random),
+          ...this.learnFromPeer(now, event.address, event.reply),
+          ...this.components.configurationHandler.due(now, random),
         ];
     }
   }
 
   /** Answers another node's query, and applies the record sent with it. */
-  answer(now: number, query: PeerQuestion): PeerKnowledge {
+  answer(now: number, query: PeerQuery): PeerQueryReply {
     if (query.own !== undefined) {
       this.deferredActions.push(
         ...this.components.boxes.fromPeer(now, 'peer', [query.own]),
       );
     }
-    return this.components.answers.to(query, this.configuration);
+    return this.components.answers.replyTo(query, this.configuration);
   }
 
   /** Whether a reply from a peer is pending. */
-  get isAskingPeer(): boolean {
-    return this.components.peers.isAsking;
+  get hasPendingPeerQuery(): boolean {
+    return this.components.peers.hasPendingQuery;
   }
 
   /**
    * Whether this node reads the store itself and so sees each change at once.
    */
   isCurrent(now: number): boolean {
-    return this.duty.isServing(now);
+    return this.readerRole.isServing(now);
   }
 
   /**
    * A reader may already know a newer version that has not reached this node.
    */
   private queryForKeys(now: number): readonly FleetAction[] {
-    const address = this.duty.readers.freshestReader(now);
+    const address = this.readerRole.readers.freshestReader(now);
     return address === undefined || this.isCurrent(now)
       ? []
-      : this.components.questions.ask(address, 'configuration');
+      : this.components.questions.query(address, 'configuration');
   }
 
   private tick(
@@ -187,11 +194,11 @@
   private advance(now: number, random: RandomSource): readonly FleetAction[] {
     this.components.ownRecord.tick(now);
     return [
-      ...this.duty.goOn(now),
-      ...this.components.lostDuty.due(now, random),
-      ...this.components.ownBox.write(now),
-      ...this.components.boxes.forget(now),
-      ...this.components.learning.due(now, random),
+      ...this.readerRole.advance(now),
+      ...this.components.lostRecordRecovery.due(now, random),
+      ...this.components.announcementHandler.write(now),
+      ...this.components.boxes.expire(now),
+      ...this.components.configurationHandler.due(now, random),
       ...this.components.questions.due(now, random),
     ];
   }
@@ -202,13 +209,13 @@
    */
   private broadcastRunReports(now: number): readonly FleetAction[] {
     const actions: FleetAction[] = [];
-    if (this.suspects.takeHasMoreToTell()) {
+    if (this.suspects.takeHasChanges()) {
       const {reports, lifts} = this.suspects;
       this.components.ownRecord.runsChanged(now, reports, lifts);
-      actions.push(...this.components.ownBox.write(now));
+      actions.push(...this.components.announcementHandler.write(now));
     }
-    if (this.components.runNews.hasUntold) {
-      actions.push(...this.components.runNews.take(now));
+    if (this.components.runReportBroadcast.hasPending) {
+      actions.push(...this.components.runReportBroadcast.takeActions(now));
     }
     return actions;
   }
@@ -220,28 +227,28 @@
     const state = {
       version: this.version,
       boxesDigest: this.directory.digest,
-      isReading: this.duty.isServing(now),
-      storeAge: this.duty.storeAge(now),
+      isReading: this.readerRole.isServing(now),
+      storeAge: this.readerRole.storeAge(now),
     };
-    return this.components.followerNews
+    return this.components.followerUpdates
       .due(now, followers, state)
-      .map((update) => ({kind: 'tell-followers', news: update}));
+      .map((update) => ({kind: 'notify-followers', news: update}));
   }
 
   /** Handles an update from a node that this one follows. */
   private updateReceived(
     now: number,
     random: RandomSource,
-    update: FleetNews,
+    update: FleetUpdate,
   ): readonly FleetAction[] {
     switch (update.kind) {
       case 'boxes':
         return this.components.boxes.fromPeer(now, 'peer', update.boxes);
       case 'records-lost':
-        return this.components.lostDuty.told(now, random, update);
+        return this.components.lostRecordRecovery.reported(now, random, update);
       case 'store-restored':
         return [
-          ...this.components.storeAnswers.heard(now, update.era),
+          ...this.components.eraCheck.eraReported(now, update.era),
           ...this.advance(now, random),
         ];
       case 'report':
@@ -252,16 +259,16 @@
   private reportReceived(
     now: number,
     random: RandomSource,
-    {address, report}: FleetNews & {readonly kind: 'report'},
+    {address, report}: FleetUpdate & {readonly kind: 'report'},
   ): readonly FleetAction[] {
-    this.duty.readers.heard(now, address, report);
+    this.readerRole.readers.reportReceived(now, address, report);
     const {digest} = this.directory;
-    const queries = this.duty.readers.wantsBoxesOf(now, address, digest)
-      ? this.components.questions.ask(address, 'with-boxes')
+    const queries = this.readerRole.readers.needsBoxesFrom(now, address, digest)
+      ? this.components.questions.query(address, 'with-boxes')
       : [];
     return [
       ...queries,
-      ...this.components.questions.versionHeard(
+      ...this.components.questions.versionReported(
         now,
         random,
         address,
@@ -273,7 +280,7 @@
   private learnFromPeer(
     now: number,
     address: string,
-    reply: PeerKnowledge | undefined,
+    reply: PeerQueryReply | undefined,
   ): readonly FleetAction[] {
     if (reply === undefined) {
       return [];
@@ -285,7 +292,10 @@
       ? actions
       : [
           ...actions,
-          ...this.components.learning.fromPeer(address, configuration),
+          ...this.components.configurationHandler.fromPeer(
+            address,
+            configuration,
+          ),
         ];
   }
 }
--- a/packages/fleet/src/followerNews.ts
+++ b/packages/fleet/src/followerUpdates.ts
@@ -2,8 +2,8 @@
 /** Schedules the updates that a node sends to its followers. */
 
 import type {BoxRecord} from './boxRecord.js';
-import type {FleetNews} from './fleetMessages.js';
-import type {ReaderReport} from './readerStanding.js';
+import type {FleetUpdate} from './fleetMessages.js';
+import type {ReaderReport} from './readerStatus.js';
 
 /** Interval between reports; two missing ones show that a reader is gone. */
 const REPORT_INTERVAL_MILLISECONDS = 1000;
@@ -18,7 +18,7 @@
 export type ReportedState = Omit<ReaderReport, 'nextWithin'>;
 
 /** Collects changes until the next tick. */
-export class FollowerNews {
+export class FollowerUpdates {
   private changed: BoxRecord[] = [];
   private nextReportAt = 0;
   private wasReading = false;
@@ -32,7 +32,7 @@
   }
 
   /** A new follower is to receive a report immediately. */
-  followerCame(): void {
+  followerAdded(): void {
     this.nextReportAt = 0;
   }
 
@@ -41,13 +41,13 @@
     now: number,
     followers: number,
     state: ReportedState,
-  ): readonly FleetNews[] {
+  ): readonly FleetUpdate[] {
     const boxes = this.changed;
     this.changed = [];
     if (followers === 0) {
       return [];
     }
-    const boxUpdates: readonly FleetNews[] =
+    const boxUpdates: readonly FleetUpdate[] =
       boxes.length === 0 ? [] : [{kind: 'boxes', boxes}];
     return [...boxUpdates, ...this.report(now, followers, state)];
   }
@@ -56,7 +56,7 @@
     now: number,
     followers: number,
     state: ReportedState,
-  ): readonly FleetNews[] {
+  ): readonly FleetUpdate[] {
     const hasReadingChanged = state.isReading !== this.wasReading;
     if (now < this.nextReportAt && !hasReadingChanged) {
       return [];
--- a/packages/fleet/src/keyTrust.ts
+++ b/packages/fleet/src/keyPolicy.ts
@@ -30,7 +30,7 @@
  * store last answered this node or a reader it follows; undefined if it never
  * did.
  */
-export function mayServeKnownKeys(
+export function mayAcceptKnownKeys(
   {withdrawalMilliseconds, refusesWhenOutdated}: KeyPolicy,
   staleness: number | undefined,
 ): boolean {
@@ -51,7 +51,7 @@
  * The longest read of the store that still confirms in time that nothing
  * changed.
  */
-export function longestReadFor({
+export function maximumReadFor({
   withdrawalMilliseconds,
   refusesWhenOutdated,
 }: KeyPolicy): number {
--- a/packages/fleet/src/versionWatch.ts
+++ b/packages/fleet/src/lateVersionMonitor.ts
@@ -2,7 +2,7 @@
 /** Detects that a version reported by peers does not come into force here. */
 
 import type {FleetAction} from './fleetMessages.js';
-import {note} from './fleetNote.js';
+import {logEvent} from './logEvent.js';
 
 /**
  * Most versions come into force within this time after the first report of a
@@ -24,11 +24,16 @@
 /**
  * Makes no decisions; collects what the log needs to explain a late version.
  */
-export class VersionWatch {
+export class LateVersionMonitor {
   private awaited: AwaitedVersion | undefined;
 
   /** A peer reported the version in force there. */
-  heard(now: number, address: string, version: number, inForce: number): void {
+  versionReported(
+    now: number,
+    address: string,
+    version: number,
+    inForce: number,
+  ): void {
     if (version <= inForce) {
       return;
     }
@@ -46,7 +51,7 @@
   }
 
   /** A peer was queried. */
-  asked(): void {
+  peerQueried(): void {
     if (this.awaited !== undefined) {
       this.awaited.questions += 1;
     }
@@ -76,7 +81,7 @@
     awaited.isLogged = true;
     const {firstAddress, firstReportedAt, newest, tellers} = awaited;
     return [
-      note('configuration-late', String(newest), {
+      logEvent('configuration-late', String(newest), {
         inForce,
         firstTold: firstAddress,
         milliseconds: Math.round(now - firstReportedAt),
--- a/packages/fleet/src/fleetNote.ts
+++ b/packages/fleet/src/logEvent.ts
@@ -4,10 +4,10 @@
 import type {FleetAction} from './fleetMessages.js';
 
 /** An action that logs an event of a subject. */
-export function note(
+export function logEvent(
   event: string,
   subject: string,
   detail: Readonly<Record<string, string | number | boolean>>,
 ): FleetAction {
-  return {kind: 'note', event, subject, detail};
+  return {kind: 'log-event', event, subject, detail};
 }
--- a/packages/fleet/src/lostRecordDuty.ts
+++ b/packages/fleet/src/lostRecordRecovery.ts
@@ -3,14 +3,14 @@
 
 import type {Era, RandomSource} from '@lockpin/types';
 import type {BoxDirectory} from './boxDirectory.js';
-import {writeBoxRecord} from './boxRecord.js';
+import {serializeBoxRecord} from './boxRecord.js';
 import type {BoxRecord} from './boxRecord.js';
-import type {FleetAction, FleetNews} from './fleetMessages.js';
+import type {FleetAction, FleetUpdate} from './fleetMessages.js';
 import type {NodeIdentity} from './nodeIdentity.js';
-import {note} from './fleetNote.js';
+import {logEvent} from './logEvent.js';
 import type {LostRecords} from './lostRecords.js';
 import type {OwnRecord} from './ownRecord.js';
-import type {StoreDuty} from './storeDuty.js';
+import type {StoreReaderRole} from './storeReaderRole.js';
 
 /**
  * All boxes may have to write again at the same time, and the store takes
@@ -19,10 +19,10 @@
 const SPREAD_PER_BOX_MILLISECONDS = 10;
 
 /** Dependencies of the recovery. */
-export interface LostRecordDutyContext {
+export interface LostRecordRecoveryContext {
   readonly identity: NodeIdentity;
   readonly directory: BoxDirectory;
-  readonly duty: StoreDuty;
+  readonly readerRole: StoreReaderRole;
   readonly ownRecord: OwnRecord;
   readonly lostRecords: LostRecords;
   /** Undefined before the first answer of the store that carries an era. */
@@ -30,26 +30,26 @@
 }
 
 /** Update about lost records, sent by a reader to its followers. */
-type LostRecordsUpdate = FleetNews & {readonly kind: 'records-lost'};
+type LostRecordsUpdate = FleetUpdate & {readonly kind: 'records-lost'};
 
 /**
  * Notifies boxes that they must write again, and writes on behalf of departed
  * ones.
  */
-export class LostRecordDuty {
-  constructor(private readonly context: LostRecordDutyContext) {}
+export class LostRecordRecovery {
+  constructor(private readonly context: LostRecordRecoveryContext) {}
 
   /** What a node that reads the store has to do now. */
   due(now: number, random: RandomSource): readonly FleetAction[] {
-    const {duty: readerRole, lostRecords} = this.context;
+    const {readerRole, lostRecords} = this.context;
     const era = this.context.era();
     if (era === undefined || !readerRole.isServing(now)) {
       return [];
     }
     const boxes = lostRecords
-      .toTell(now)
+      .toNotify(now)
       .filter((box) => this.isInOwnDataCentre(box));
-    const rewrites = readerRole.actsForOthers ? lostRecords.toWrite(now) : [];
+    const rewrites = readerRole.isMaintainer ? lostRecords.toRewrite(now) : [];
     return [
       ...(boxes.length > 0 ? this.notify(now, random, era, boxes) : []),
       ...rewrites.map(writeOnBehalf),
@@ -57,7 +57,7 @@
   }
 
   /** A reader reported lost records, which may include this box's. */
-  told(
+  reported(
     now: number,
     random: RandomSource,
     {era, boxes}: LostRecordsUpdate,
@@ -68,7 +68,7 @@
     }
     const delay = random() * directory.size * SPREAD_PER_BOX_MILLISECONDS;
     return ownRecord.lost(now, era, delay)
-      ? [note('own-record-lost', identity.box, {era})]
+      ? [logEvent('own-record-lost', identity.box, {era})]
       : [];
   }
 
@@ -80,9 +80,9 @@
   ): readonly FleetAction[] {
     const update: LostRecordsUpdate = {kind: 'records-lost', era, boxes};
     return [
-      note('records-lost', '', {era, boxes: boxes.length}),
-      {kind: 'tell-followers', news: update},
-      ...this.told(now, random, update),
+      logEvent('records-lost', '', {era, boxes: boxes.length}),
+      {kind: 'notify-followers', news: update},
+      ...this.reported(now, random, update),
     ];
   }
 
@@ -97,6 +97,6 @@
 }
 
 function writeOnBehalf(record: BoxRecord): FleetAction {
-  const value = writeBoxRecord(record);
-  return {kind: 'write-for', record: {key: record.box, value}};
+  const value = serializeBoxRecord(record);
+  return {kind: 'write-on-behalf', record: {key: record.box, value}};
 }
--- a/packages/fleet/src/lostRecords.ts
+++ b/packages/fleet/src/lostRecords.ts
@@ -7,7 +7,7 @@
  */
 
 import type {BoxDirectory} from './boxDirectory.js';
-import {RECORD_LIFE_MILLISECONDS, tellsOfRuns} from './boxRecord.js';
+import {RECORD_EXPIRY_MILLISECONDS, hasQuarantineData} from './boxRecord.js';
 import type {BoxRecord} from './boxRecord.js';
 
 /**
@@ -44,7 +44,7 @@
   constructor(private readonly directory: BoxDirectory) {}
 
   /** Compares a full snapshot of the store with the known records. */
-  readAll(now: number, records: readonly BoxRecord[]): void {
+  snapshotRead(now: number, records: readonly BoxRecord[]): void {
     this.stored = new Map(records.map(({box, statedAt}) => [box, statedAt]));
     this.lost.clear();
     for (const record of this.directory.all()) {
@@ -53,12 +53,12 @@
   }
 
   /** A peer reported a record of a box. */
-  learnt(now: number, record: BoxRecord): void {
+  peerReported(now: number, record: BoxRecord): void {
     this.compare(now + PEER_REPORT_SETTLE_MILLISECONDS, record);
   }
 
   /** The store holds this record. */
-  found({box, statedAt}: BoxRecord): void {
+  storeReported({box, statedAt}: BoxRecord): void {
     this.stored?.set(box, statedAt);
     const lost = this.lost.get(box);
     if (lost !== undefined && statedAt >= lost.statedAt) {
@@ -67,7 +67,7 @@
   }
 
   /** Boxes to notify now that their records are lost; each is returned once. */
-  toTell(now: number): readonly string[] {
+  toNotify(now: number): readonly string[] {
     const due = [...this.lost].filter(
       ([, lost]) => !lost.isNotified && now >= lost.dueAt,
     );
@@ -79,14 +79,14 @@
   }
 
   /** Records to write now on behalf of boxes that did not. */
-  toWrite(now: number): readonly BoxRecord[] {
+  toRewrite(now: number): readonly BoxRecord[] {
     const due = [...this.lost].filter(
       ([, lost]) => lost.isNotified && now >= lost.dueAt,
     );
     return due.flatMap(([box, lost]) => {
       lost.dueAt = now + REWRITE_TIMEOUT_MILLISECONDS;
       const record = this.directory.get(box);
-      if (record !== undefined && tellsOfRuns(record)) {
+      if (record !== undefined && hasQuarantineData(record)) {
         return [record];
       }
       this.lost.delete(box);
@@ -106,6 +106,6 @@
  * Whether a record belongs to an expired box; a restored store may return such
  * records.
  */
-export function isForgotten(now: number, {statedAt}: BoxRecord): boolean {
-  return now - statedAt > RECORD_LIFE_MILLISECONDS;
+export function isExpired(now: number, {statedAt}: BoxRecord): boolean {
+  return now - statedAt > RECORD_EXPIRY_MILLISECONDS;
 }
--- a/packages/fleet/src/ownRecord.ts
+++ b/packages/fleet/src/ownRecord.ts
@@ -3,8 +3,8 @@
 
 import {
   RECORD_RENEWAL_MILLISECONDS,
-  isSameStatement,
-  writeBoxRecord,
+  hasSameContent,
+  serializeBoxRecord,
 } from './boxRecord.js';
 import type {BoxRecord} from './boxRecord.js';
 import type {NodeIdentity} from './nodeIdentity.js';
@@ -54,14 +54,14 @@
   /**
    * The newest version of the record; undefined before the first announcement.
    */
-  get statement(): BoxRecord | undefined {
+  get latest(): BoxRecord | undefined {
     return this.desired;
   }
 
   /**
    * Whether the store did not take the record; it is sent to peers meanwhile.
    */
-  get isHeldUp(): boolean {
+  get hasFailedWrite(): boolean {
     return this.lastWriteFailed;
   }
 
@@ -117,7 +117,7 @@
    * A peer reported a record of this box. A matching record does not prove that
    * the store holds it: readers also report what this box sent them.
    */
-  toldOf(now: number, record: BoxRecord): void {
+  peerReported(now: number, record: BoxRecord): void {
     const {desired, lastPeerReport} = this;
     if (desired === undefined) {
       this.lastStatedAt = Math.max(this.lastStatedAt, record.statedAt);
@@ -128,12 +128,12 @@
       now - lastPeerReport.at < DUPLICATE_REPORT_MILLISECONDS;
     if (record.statedAt !== desired.statedAt && !isDuplicate) {
       this.lastPeerReport = {statedAt: record.statedAt, at: now};
-      this.found(now, record, this.storedEra);
+      this.storeReported(now, record, this.storedEra);
     }
   }
 
   /** The store holds this record of this box. */
-  found(now: number, record: BoxRecord, era: Era): void {
+  storeReported(now: number, record: BoxRecord, era: Era): void {
     this.stored = record;
     this.storedEra = era;
     const {desired} = this;
@@ -158,7 +158,7 @@
       return undefined;
     }
     this.writing = desired;
-    return {key: desired.box, value: writeBoxRecord(desired)};
+    return {key: desired.box, value: serializeBoxRecord(desired)};
   }
 
   /** A write has ended; if it failed, later reads show what the store holds. */
@@ -225,7 +225,7 @@
 function isStored(desired: BoxRecord, stored: BoxRecord | undefined): boolean {
   return (
     stored !== undefined &&
-    isSameStatement(desired, stored) &&
+    hasSameContent(desired, stored) &&
     desired.statedAt - stored.statedAt < RECORD_RENEWAL_MILLISECONDS
   );
 }
--- a/packages/fleet/src/peerQuestions.ts
+++ b/packages/fleet/src/peerQueries.ts
@@ -4,86 +4,89 @@
 import type {RandomSource} from '@lockpin/types';
 import type {BoxDirectory} from './boxDirectory.js';
 import type {ConfigurationInForce} from './configurationInForce.js';
-import type {
-  FleetAction,
-  PeerKnowledge,
-  PeerQuestion,
-} from './fleetMessages.js';
+import type {FleetAction, PeerQueryReply, PeerQuery} from './fleetMessages.js';
 import type {OwnRecord} from './ownRecord.js';
-import type {PeerAsking} from './peerAsking.js';
-import type {StoreDuty} from './storeDuty.js';
-import {VersionWatch} from './versionWatch.js';
+import type {PeerSelector} from './peerSelector.js';
+import type {StoreReaderRole} from './storeReaderRole.js';
+import {LateVersionMonitor} from './lateVersionMonitor.js';
 
 /** What a query asks for. */
 type QueryContent = 'configuration' | 'with-boxes';
 
 /** Dependencies of the queries. */
-export interface PeerQuestionsContext {
+export interface PeerQueriesContext {
   readonly inForce: ConfigurationInForce;
   readonly directory: BoxDirectory;
-  readonly duty: StoreDuty;
+  readonly readerRole: StoreReaderRole;
   readonly ownRecord: OwnRecord;
-  readonly peers: PeerAsking;
+  readonly peers: PeerSelector;
 }
 
 /** Queries peers for what neither the store nor a reader has delivered. */
-export class PeerQuestions {
-  private readonly monitor = new VersionWatch();
+export class PeerQueries {
+  private readonly monitor = new LateVersionMonitor();
 
-  constructor(private readonly context: PeerQuestionsContext) {}
+  constructor(private readonly context: PeerQueriesContext) {}
 
   /** The queries that are due now. */
   due(now: number, random: RandomSource): readonly FleetAction[] {
-    const fallback = this.context.peers.overdue(now);
+    const fallback = this.context.peers.fallbackPeer(now);
     const queries = [fallback, this.peerInsteadOfStore(now, random)].flatMap(
       (address) =>
-        address === undefined ? [] : this.ask(address, this.queryContent(now)),
+        address === undefined
+          ? []
+          : this.query(address, this.queryContent(now)),
     );
     return [...queries, ...this.monitor.due(now, this.context.inForce.version)];
   }
 
   /** A peer reported the version in force there. */
-  versionHeard(
+  versionReported(
     now: number,
     random: RandomSource,
     address: string,
     version: number,
   ): readonly FleetAction[] {
-    const {duty: readerRole, inForce, peers} = this.context;
-    this.monitor.heard(now, address, version, inForce.version);
+    const {readerRole, inForce, peers} = this.context;
+    this.monitor.versionReported(now, address, version, inForce.version);
     if (!readerRole.hasReadBoxes) {
       // Every peer that calls a newly started node reports its version.
-      return peers.isAsking ? [] : this.ask(address, 'with-boxes');
+      return peers.hasPendingQuery ? [] : this.query(address, 'with-boxes');
     }
     if (version <= inForce.version) {
       return [];
     }
-    readerRole.newerVersionHeard(now);
-    peers.heardOfNewer(now, address, version, readerRole.isServing(now));
-    return readerRole.lacksNews(now)
-      ? this.ask(address, this.queryContent(now))
+    readerRole.newerVersionReported(now);
+    peers.newerVersionReported(
+      now,
+      address,
+      version,
+      readerRole.isServing(now),
+    );
+    return readerRole.isStale(now)
+      ? this.query(address, this.queryContent(now))
       : this.due(now, random);
   }
 
   /** Queries one peer, unless a reply from it is pending. */
-  ask(address: string, content: QueryContent): readonly FleetAction[] {
+  query(address: string, content: QueryContent): readonly FleetAction[] {
     const {directory, inForce, ownRecord, peers} = this.context;
-    if (!peers.begin(address)) {
+    if (!peers.beginQuery(address)) {
       return [];
     }
-    this.monitor.asked();
-    const query: PeerQuestion = {
+    this.monitor.peerQueried();
+    const query: PeerQuery = {
       version: inForce.version,
       boxesDigest: content === 'with-boxes' ? directory.digest : undefined,
-      own: ownRecord.statement,
+      own: ownRecord.latest,
     };
-    return [{kind: 'ask-peer', address, question: query}];
+    return [{kind: 'query-peer', address, query}];
   }
 
   /** A peer replied or timed out. */
-  ended(address: string, reply: PeerKnowledge | undefined): void {
+  queryEnded(address: string, reply: PeerQueryReply | undefined): void {
     const replyVersion = reply?.configuration?.version ?? 0;
-    this.context.peers.ended(address, replyVersion);
+    this.context.peers.queryEnded(address, replyVersion);
     if (reply === undefined) {
       this.monitor.unanswered();
     }
@@ -96,16 +99,18 @@
     now: number,
     random: RandomSource,
   ): string | undefined {
-    const {duty: readerRole, ownRecord, peers} = this.context;
-    if (readerRole.lacksNews(now)) {
-      return peers.withoutStore(now, random);
+    const {readerRole, ownRecord, peers} = this.context;
+    if (readerRole.isStale(now)) {
+      return peers.peerWithoutStore(now, random);
     }
-    return ownRecord.isHeldUp ? peers.instead(now, random) : undefined;
+    return ownRecord.hasFailedWrite
+      ? peers.peerForOwnRecord(now, random)
+      : undefined;
   }
 
   private queryContent(now: number): QueryContent {
-    const {duty: readerRole} = this.context;
-    const lacksBoxes = !readerRole.hasReadBoxes || readerRole.lacksNews(now);
+    const {readerRole} = this.context;
+    const lacksBoxes = !readerRole.hasReadBoxes || readerRole.isStale(now);
     return lacksBoxes ? 'with-boxes' : 'configuration';
   }
 }
--- a/packages/fleet/src/peerAnswers.ts
+++ b/packages/fleet/src/peerReplies.ts
@@ -3,29 +3,29 @@
 
 import type {BoxDirectory} from './boxDirectory.js';
 import type {DeclaredConfiguration} from './declaredConfiguration.js';
-import type {PeerKnowledge, PeerQuestion} from './fleetMessages.js';
+import type {PeerQueryReply, PeerQuery} from './fleetMessages.js';
 
 /** The last reply and what it was made from. */
 interface CachedReply {
   readonly configuration: DeclaredConfiguration | undefined;
   readonly boxesDigest: number | undefined;
-  readonly reply: PeerKnowledge;
+  readonly reply: PeerQueryReply;
 }
 
 /**
  * A whole data centre queries for a new version at the same time. All get the
  * same reply object, so that the sender encodes it only once.
  */
-export class PeerAnswers {
+export class PeerReplies {
   private last: CachedReply | undefined;
 
   constructor(private readonly directory: BoxDirectory) {}
 
   /** Includes only what the querying node does not have. */
-  to(
-    {version, boxesDigest}: PeerQuestion,
+  replyTo(
+    {version, boxesDigest}: PeerQuery,
     inForce: DeclaredConfiguration | undefined,
-  ): PeerKnowledge {
+  ): PeerQueryReply {
     const {digest} = this.directory;
     const isNewer = inForce !== undefined && inForce.version > version;
     const sendsBoxes = boxesDigest !== undefined && boxesDigest !== digest;
@@ -38,7 +38,7 @@
   private cachedReply(
     configuration: DeclaredConfiguration | undefined,
     boxesDigest: number | undefined,
-  ): PeerKnowledge {
+  ): PeerQueryReply {
     const {last} = this;
     if (
       last !== undefined &&
--- a/packages/fleet/src/peerAsking.ts
+++ b/packages/fleet/src/peerSelector.ts
@@ -8,8 +8,8 @@
 import {STABLE_HASH_RANGE, stableHash} from '@lockpin/utils';
 import type {BoxDirectory} from './boxDirectory.js';
 import type {NodeIdentity} from './nodeIdentity.js';
-import {firstReaders} from './recordReaders.js';
-import {PEERS_TO_ASK} from './startCheck.js';
+import {preferredReaders} from './readerSelection.js';
+import {STARTUP_PEERS} from './startupCheck.js';
 
 /** Interval between queries to peers while the store does not answer. */
 const QUERY_INTERVAL_MILLISECONDS = 500;
@@ -54,7 +54,7 @@
 }
 
 /** Selects addresses to query; each has at most one query pending. */
-export class PeerAsking {
+export class PeerSelector {
   private readonly pending = new Set<string>();
   /**
    * By the address of the peer. Kept until the version is in force here: peers
@@ -78,7 +78,7 @@
    * A peer has a newer version; a node that reads the store gives the store
    * time to deliver it.
    */
-  heardOfNewer(
+  newerVersionReported(
     now: number,
     address: string,
     version: number,
@@ -93,7 +93,7 @@
   }
 
   /** A newer version came into force, from whichever source. */
-  versionCame(inForce: number): void {
+  versionAdopted(inForce: number): void {
     for (const [address, {version}] of this.reported) {
       if (version <= inForce) {
         this.reported.delete(address);
@@ -102,7 +102,7 @@
   }
 
   /** The peer to query because the store did not deliver a reported version. */
-  overdue(now: number): string | undefined {
+  fallbackPeer(now: number): string | undefined {
     if (this.reported.size === 0 || now < this.nextQueryAt) {
       return undefined;
     }
@@ -120,7 +120,7 @@
   }
 
   /** The peer to query while the store does not answer, if a query is due. */
-  withoutStore(now: number, random: RandomSource): string | undefined {
+  peerWithoutStore(now: number, random: RandomSource): string | undefined {
     const {dataCentre} = this.identity;
     return this.ifDue(now, () => {
       const others = this.others(this.directory.all());
@@ -135,10 +135,10 @@
    * The peer to send the own record to while the store does not take it, if one
    * is due: a reader of any data centre, since readers notify all others.
    */
-  instead(now: number, random: RandomSource): string | undefined {
+  peerForOwnRecord(now: number, random: RandomSource): string | undefined {
     return this.ifDue(now, () => {
       const readers = this.directory.dataCentres.flatMap((dataCentre) =>
-        firstReaders(this.directory, dataCentre),
+        preferredReaders(this.directory, dataCentre),
       );
       return pickRandom(this.others(readers), random);
     });
@@ -149,16 +149,16 @@
    * know the most, and one node elsewhere still has the data if they have just
    * started as well.
    */
-  atStart(random: RandomSource): readonly string[] {
+  peersAtStart(random: RandomSource): readonly string[] {
     const {dataCentre} = this.identity;
-    const near = this.others(firstReaders(this.directory, dataCentre));
+    const near = this.others(preferredReaders(this.directory, dataCentre));
     const others = this.others(this.directory.all()).filter(
       ({box}) => !near.some((reader) => reader.box === box),
     );
     const far = others.filter((record) => record.dataCentre !== dataCentre);
     const additional = pickRandom(far.length > 0 ? far : others, random);
     const all = additional === undefined ? near : [...near, additional];
-    return all.slice(0, PEERS_TO_ASK).map(({peerAddress}) => peerAddress);
+    return all.slice(0, STARTUP_PEERS).map(({peerAddress}) => peerAddress);
   }
 
   private ifDue(
@@ -177,12 +177,12 @@
   }
 
   /** Whether a reply from any peer is pending. */
-  get isAsking(): boolean {
+  get hasPendingQuery(): boolean {
     return this.pending.size > 0;
   }
 
   /** Marks a query to this address as pending; false if one already is. */
-  begin(address: string): boolean {
+  beginQuery(address: string): boolean {
     if (this.pending.has(address)) {
       return false;
     }
@@ -191,7 +191,7 @@
   }
 
   /** A query ended: with the version of the reply, or 0 if there was none. */
-  ended(address: string, replyVersion: number): void {
+  queryEnded(address: string, replyVersion: number): void {
     this.pending.delete(address);
     const reported = this.reported.get(address);
     if (reported === undefined || replyVersion >= reported.version) {
--- a/packages/fleet/src/readingTurn.ts
+++ b/packages/fleet/src/pollPhase.ts
@@ -9,7 +9,7 @@
 import type {RecordStream} from './recordStore.js';
 
 /** A node's offset among the nodes that read the store. */
-export interface ReadingTurn {
+export interface PollPhase {
   /** Number of nodes that read for the fleet. */
   readonly readers: number;
   /** From 0 to 1: the point in each round at which the node's polls end. */
@@ -43,10 +43,10 @@
 const MAXIMUM_ROUND_SHARE = 1 + MINIMUM_ROUND_SHARE;
 
 /** How long a poll that starts now waits for records, in milliseconds. */
-export function waitForTurn(
+export function pollWait(
   now: number,
   stream: RecordStream,
-  {readers, phase}: ReadingTurn,
+  {readers, phase}: PollPhase,
   maximumWait: number,
 ): number {
   const round = Math.min(
--- a/packages/fleet/src/recordReaders.ts
+++ b/packages/fleet/src/readerSelection.ts
@@ -9,9 +9,9 @@
 import {STABLE_HASH_RANGE, stableHash} from '@lockpin/utils';
 import type {BoxDirectory} from './boxDirectory.js';
 import type {FollowedPeers, NodeIdentity} from './nodeIdentity.js';
-import type {ReadingTurn} from './readingTurn.js';
-import {ReaderStanding} from './readerStanding.js';
-import type {ReaderReport} from './readerStanding.js';
+import type {PollPhase} from './pollPhase.js';
+import {ReaderStatus} from './readerStatus.js';
+import type {ReaderReport} from './readerStatus.js';
 
 /**
  * Readers in each data centre. With two, one may stop without notice; if both
@@ -37,7 +37,7 @@
 const REMOTE_PEER_ROTATION_MILLISECONDS = 30_000;
 
 /** The nodes of a data centre that read the store in normal operation. */
-export function firstReaders(
+export function preferredReaders(
   directory: BoxDirectory,
   dataCentre: string,
 ): readonly NodeIdentity[] {
@@ -47,8 +47,8 @@
 /**
  * Decides which peers this node follows, and whether it must read by itself.
  */
-export class RecordReaders {
-  private readonly statuses = new Map<string, ReaderStanding>();
+export class ReaderSelection {
+  private readonly statuses = new Map<string, ReaderStatus>();
   private chosen: readonly NodeIdentity[] = [];
   private isAmongReaders = false;
   private lastActiveReaderAt: number | undefined;
@@ -71,22 +71,22 @@
       this.status(peerAddress).tick(now);
     }
     this.lastActiveReaderAt ??= now;
-    if (this.hearsReader(now)) {
+    if (this.hasActiveReader(now)) {
       this.lastActiveReaderAt = now;
     }
   }
 
   /** A peer sent a report. */
-  heard(now: number, address: string, report: ReaderReport): void {
-    this.status(address).heard(now, report);
+  reportReceived(now: number, address: string, report: ReaderReport): void {
+    this.status(address).reportReceived(now, report);
   }
 
   /**
    * Whether to request the boxes of a peer, because they have differed for a
    * while.
    */
-  wantsBoxesOf(now: number, address: string, ownDigest: number): boolean {
-    return this.status(address).wantsBoxes(now, ownDigest);
+  needsBoxesFrom(now: number, address: string, ownDigest: number): boolean {
+    return this.status(address).needsBoxes(now, ownDigest);
   }
 
   /** Whether this node is one of the readers of its data centre. */
@@ -95,25 +95,25 @@
   }
 
   /** Whether a followed node reads the store now, according to its reports. */
-  hearsReader(now: number): boolean {
+  hasActiveReader(now: number): boolean {
     return this.chosen.some(({peerAddress}) =>
       this.status(peerAddress).isReading(now),
     );
   }
 
   /** Whether this node has had no active reader for too long. */
-  isAlone(now: number): boolean {
+  isIsolated(now: number): boolean {
     return now - (this.lastActiveReaderAt ?? now) > READER_TIMEOUT_MILLISECONDS;
   }
 
   /**
    * When the polls of this node are to end, relative to those of all readers.
    */
-  turn(): ReadingTurn {
+  pollPhase(): PollPhase {
     const {box} = this.identity;
     const readers = this.directory.dataCentres
       .flatMap((dataCentre) =>
-        firstReaders(this.directory, dataCentre).map((record, rank) => ({
+        preferredReaders(this.directory, dataCentre).map((record, rank) => ({
           box: record.box,
           rank,
         })),
@@ -127,15 +127,15 @@
   /**
    * Whether this node must read, for others or because no reader informs it.
    */
-  hasToRead(now: number): boolean {
+  mustRead(now: number): boolean {
     const hasEnoughPeers = this.chosen.length >= MAXIMUM_CANDIDATES;
-    return this.isAmongReaders || (this.isAlone(now) && !hasEnoughPeers);
+    return this.isAmongReaders || (this.isIsolated(now) && !hasEnoughPeers);
   }
 
   /** Milliseconds since the store last answered any of the followed nodes. */
-  newsAge(now: number): number | undefined {
+  staleness(now: number): number | undefined {
     const ages = this.chosen.flatMap(({peerAddress}) => {
-      const age = this.status(peerAddress).newsAge(now);
+      const age = this.status(peerAddress).staleness(now);
       return age === undefined ? [] : [age];
     });
     return ages.length === 0 ? undefined : Math.min(...ages);
@@ -144,7 +144,7 @@
   /** The followed node with the most recent data of the store. */
   freshestReader(now: number): string | undefined {
     const ageOf = ({peerAddress}: NodeIdentity): number =>
-      this.status(peerAddress).newsAge(now) ?? Number.POSITIVE_INFINITY;
+      this.status(peerAddress).staleness(now) ?? Number.POSITIVE_INFINITY;
     const byAge = [...this.chosen].sort((a, b) => ageOf(a) - ageOf(b));
     return byAge[0]?.peerAddress;
   }
@@ -159,10 +159,10 @@
   }
 
   /** The readers of the other data centres, as far as known here. */
-  elsewhere(): readonly NodeIdentity[] {
+  remoteReaders(): readonly NodeIdentity[] {
     return this.directory.dataCentres
       .filter((other) => other !== this.identity.dataCentre)
-      .flatMap((other) => firstReaders(this.directory, other));
+      .flatMap((other) => preferredReaders(this.directory, other));
   }
 
   private choose(now: number): void {
@@ -185,7 +185,7 @@
       const status = this.status(record.peerAddress);
       if (!status.isSilent(now)) {
         chosen.push(record);
-        reading += status.isTurnedAway ? 0 : 1;
+        reading += status.cannotRead ? 0 : 1;
       }
     }
     this.isAmongReaders = isReader;
@@ -197,17 +197,17 @@
     this.chosen = chosen;
     for (const {peerAddress} of chosen) {
       if (!before.has(peerAddress)) {
-        this.status(peerAddress).followedFrom(now);
+        this.status(peerAddress).startFollowing(now);
       }
     }
   }
 
-  private status(address: string): ReaderStanding {
+  private status(address: string): ReaderStatus {
     const found = this.statuses.get(address);
     if (found !== undefined) {
       return found;
     }
-    const made = new ReaderStanding();
+    const made = new ReaderStatus();
     this.statuses.set(address, made);
     return made;
   }
@@ -215,7 +215,7 @@
   /** One of the remote readers in rotation; nodes choose different ones. */
   private remotePeer(now: number): string | undefined {
     const {box} = this.identity;
-    const readers = this.elsewhere();
+    const readers = this.remoteReaders();
     const rotation = Math.floor(
       now / REMOTE_PEER_ROTATION_MILLISECONDS + this.phase,
     );
--- a/packages/fleet/src/readerStanding.ts
+++ b/packages/fleet/src/readerStatus.ts
@@ -33,7 +33,7 @@
 const PROPAGATION_MILLISECONDS = 700;
 
 /** One instance for each node that was followed. */
-export class ReaderStanding {
+export class ReaderStatus {
   private report: ReaderReport | undefined;
   private reportedAt = 0;
   private followedSince = 0;
@@ -44,11 +44,11 @@
   private requestedDigest: number | undefined;
 
   /** The node is followed from now on. */
-  followedFrom(now: number): void {
+  startFollowing(now: number): void {
     this.followedSince = now;
   }
 
-  heard(now: number, report: ReaderReport): void {
+  reportReceived(now: number, report: ReaderReport): void {
     this.report = report;
     this.reportedAt = now;
     this.silences = 0;
@@ -80,7 +80,7 @@
   /**
    * The node reported that it does not read, or that the store does not answer.
    */
-  get isTurnedAway(): boolean {
+  get cannotRead(): boolean {
     return this.report?.isReading === false;
   }
 
@@ -93,7 +93,7 @@
    * Milliseconds since the store answered the node; undefined if it does not
    * read.
    */
-  newsAge(now: number): number | undefined {
+  staleness(now: number): number | undefined {
     return this.report?.isReading === true
       ? this.report.storeAge + now - this.reportedAt
       : undefined;
@@ -103,7 +103,7 @@
    * True once per digest that differs for longer than changes take to
    * propagate.
    */
-  wantsBoxes(now: number, ownDigest: number): boolean {
+  needsBoxes(now: number, ownDigest: number): boolean {
     const digest = this.report?.boxesDigest ?? ownDigest;
     if (digest === ownDigest) {
       this.differsSince = undefined;
--- a/packages/fleet/src/runRelay.ts
+++ b/packages/fleet/src/relayTree.ts
@@ -9,13 +9,13 @@
 import {readerRank} from '@lockpin/utils';
 import type {BoxDirectory} from './boxDirectory.js';
 import type {NodeIdentity} from './nodeIdentity.js';
-import {firstReaders} from './recordReaders.js';
+import {preferredReaders} from './readerSelection.js';
 
 /** Children of each node in a tree: 229 nodes are reached in five steps. */
 const FAN_OUT = 3;
 
 /** Knows the position of this node in the trees of its data centre. */
-export class RunRelay {
+export class RelayTree {
   private cachedChildren: readonly string[] = [];
   private cacheKey: string | undefined;
 
@@ -25,9 +25,9 @@
   ) {}
 
   /** The addresses of the nodes that this one forwards to. */
-  get followers(): readonly string[] {
+  get children(): readonly string[] {
     const {directory, identity} = this;
-    const readers = firstReaders(directory, identity.dataCentre);
+    const readers = preferredReaders(directory, identity.dataCentre);
     const names = readers.map(({box}) => box);
     const key = `${directory.members} ${names.join(' ')}`;
     if (key !== this.cacheKey) {
--- a/packages/fleet/src/runNews.ts
+++ b/packages/fleet/src/runReportBroadcast.ts
@@ -2,10 +2,10 @@
 /** Broadcasts run reports of boxes to all other boxes without the store. */
 
 import type {BoxRecord} from './boxRecord.js';
-import type {FleetAction, FleetNews} from './fleetMessages.js';
+import type {FleetAction, FleetUpdate} from './fleetMessages.js';
 import type {NodeIdentity} from './nodeIdentity.js';
-import type {RecordReaders} from './recordReaders.js';
-import type {RunRelay} from './runRelay.js';
+import type {ReaderSelection} from './readerSelection.js';
+import type {RelayTree} from './relayTree.js';
 
 /**
  * The store distributes these records as well, but readers batch box records
@@ -15,27 +15,27 @@
  * about the boxes of their own, and each data centre forwards new records from
  * its readers on (see RelayTree).
  */
-export class RunNews {
+export class RunReportBroadcast {
   private pending: BoxRecord[] = [];
 
   constructor(
     private readonly identity: NodeIdentity,
-    private readonly readers: RecordReaders,
-    private readonly relay: RunRelay,
+    private readonly readers: ReaderSelection,
+    private readonly relay: RelayTree,
   ) {}
 
   /** Whether there are records to broadcast. */
-  get hasUntold(): boolean {
+  get hasPending(): boolean {
     return this.pending.length > 0;
   }
 
   /** Adds a record with run reports that was new to this node. */
-  learnt(record: BoxRecord): void {
+  enqueue(record: BoxRecord): void {
     this.pending.push(record);
   }
 
   /** The notifications to send now. */
-  take(now: number): readonly FleetAction[] {
+  takeActions(now: number): readonly FleetAction[] {
     const {pending} = this;
     this.pending = [];
     return pending.flatMap((record) => this.notificationsFor(now, record));
@@ -46,19 +46,19 @@
     record: BoxRecord,
   ): readonly FleetAction[] {
     const {box, dataCentre} = this.identity;
-    const update: FleetNews = {kind: 'boxes', boxes: [record]};
+    const update: FleetUpdate = {kind: 'boxes', boxes: [record]};
     const isInOwnDataCentre = record.dataCentre === dataCentre;
     const remoteReaders =
       isInOwnDataCentre && this.readers.isReader
-        ? this.readers.elsewhere().map(({peerAddress}) => peerAddress)
+        ? this.readers.remoteReaders().map(({peerAddress}) => peerAddress)
         : [];
-    const forwardTo = [...remoteReaders, ...this.relay.followers];
+    const forwardTo = [...remoteReaders, ...this.relay.children];
     if (record.box !== box) {
       return notifyNodes(forwardTo, update);
     }
     const {near} = this.readers.followed(now);
     return [
-      {kind: 'tell-entries', news: update},
+      {kind: 'notify-entries', news: update},
       ...notifyNodes([...new Set([...near, ...forwardTo])], update),
     ];
   }
@@ -66,9 +66,9 @@
 
 function notifyNodes(
   addresses: readonly string[],
-  update: FleetNews,
+  update: FleetUpdate,
 ): readonly FleetAction[] {
   return addresses.length === 0
     ? []
-    : [{kind: 'tell-nodes', addresses, news: update}];
+    : [{kind: 'notify-nodes', addresses, news: update}];
 }
--- a/packages/fleet/src/startCheck.ts
+++ b/packages/fleet/src/startupCheck.ts
@@ -10,7 +10,7 @@
  * Number of peers queried; one may be gone, and one may have just started as
  * well.
  */
-export const PEERS_TO_ASK = 3;
+export const STARTUP_PEERS = 3;
 
 /** How long a start waits for replies. */
 const REPLY_TIMEOUT_MILLISECONDS = 400;
@@ -19,7 +19,7 @@
 const BOXES_MILLISECONDS = 1000;
 
 /** From the first document read from the store until it may come into force. */
-export class StartCheck {
+export class StartupCheck {
   private loadedAt: number | undefined;
   private queriedAt: number | undefined;
   private readonly pending = new Set<string>();
@@ -41,12 +41,12 @@
   }
 
   /** Whether the peers are to be queried now. */
-  get mayAsk(): boolean {
+  get shouldQueryPeers(): boolean {
     return this.loadedAt !== undefined && this.queriedAt === undefined;
   }
 
   /** These peers were queried; empty if no other box is known. */
-  asked(now: number, addresses: readonly string[]): void {
+  queriesSent(now: number, addresses: readonly string[]): void {
     this.queriedAt = now;
     addresses.forEach((address) => this.pending.add(address));
   }
--- a/packages/fleet/src/storeEra.ts
+++ b/packages/fleet/src/storeEra.ts
@@ -4,7 +4,7 @@
 import type {Era} from '@lockpin/types';
 
 /** The era of an answer compared with the newest one seen by this node. */
-export type EraFinding =
+export type EraComparison =
   /** No restore since, or the answer carries no era. */
   | {readonly kind: 'same'}
   /** The first answer that this process received. */
@@ -14,7 +14,7 @@
   /** The answer was given before a known restore and must be ignored. */
   | {readonly kind: 'outdated'; readonly era: Era};
 
-const SAME: EraFinding = {kind: 'same'};
+const SAME: EraComparison = {kind: 'same'};
 
 /** Tracks the newest era. */
 export class StoreEra {
@@ -35,7 +35,7 @@
    * Compares the era of an answer; undefined if none arrived or it carries no
    * era.
    */
-  find(era: Era | undefined): EraFinding {
+  compare(era: Era | undefined): EraComparison {
     const before = this.newest;
     if (era === undefined || era === before) {
       return SAME;
--- a/packages/fleet/src/storeAnswers.ts
+++ b/packages/fleet/src/storeEraCheck.ts
@@ -3,11 +3,11 @@
 
 import type {Era} from '@lockpin/types';
 import type {FleetAction} from './fleetMessages.js';
-import {note} from './fleetNote.js';
+import {logEvent} from './logEvent.js';
 import type {StoreFailure, StoreResult} from './recordStore.js';
-import type {StoreDuty} from './storeDuty.js';
+import type {StoreReaderRole} from './storeReaderRole.js';
 import {StoreEra} from './storeEra.js';
-import type {EraFinding} from './storeEra.js';
+import type {EraComparison} from './storeEra.js';
 
 /** Replaces an answer given before a restore. */
 const OUTDATED_ANSWER: StoreFailure = {
@@ -25,14 +25,14 @@
  * Detects restores: everything is then read again, and earlier answers are
  * ignored.
  */
-export class StoreAnswers {
+export class StoreEraCheck {
   readonly era = new StoreEra();
 
-  constructor(private readonly readerRole: StoreDuty) {}
+  constructor(private readonly readerRole: StoreReaderRole) {}
 
   /** Another node detected a restore. */
-  heard(now: number, era: Era): readonly FleetAction[] {
-    const comparison = this.era.find(era);
+  eraReported(now: number, era: Era): readonly FleetAction[] {
+    const comparison = this.era.compare(era);
     return comparison.kind === 'restored'
       ? this.handleRestore(now, comparison, 'peer', [])
       : [];
@@ -44,18 +44,18 @@
     subject: string,
     result: StoreResult<T>,
   ): CheckedResult<T> {
-    const comparison = this.era.find(result.era);
+    const comparison = this.era.compare(result.era);
     switch (comparison.kind) {
       case 'same':
         return {result, actions: []};
       case 'first':
         return {
           result,
-          actions: [note('store-era', String(comparison.era), {})],
+          actions: [logEvent('store-era', String(comparison.era), {})],
         };
       case 'restored': {
         const remoteReaders = this.readerRole.readers
-          .elsewhere()
+          .remoteReaders()
           .map(({peerAddress}) => peerAddress);
         const actions = this.handleRestore(
           now,
@@ -70,7 +70,7 @@
         const known = this.era.current ?? era;
         return {
           result: {ok: false, failure: OUTDATED_ANSWER, era},
-          actions: [note('store-answer-outdated', subject, {era, known})],
+          actions: [logEvent('store-answer-outdated', subject, {era, known})],
         };
       }
     }
@@ -82,20 +82,20 @@
    */
   private handleRestore(
     now: number,
-    {before, era}: EraFinding & {readonly kind: 'restored'},
+    {before, era}: EraComparison & {readonly kind: 'restored'},
     source: string,
     remoteReaders: readonly string[],
   ): readonly FleetAction[] {
     this.readerRole.storeRestored(now);
     const update = {kind: 'store-restored', era} as const;
     return [
-      note('store-restored', String(era), {before, source}),
-      {kind: 'tell-followers', news: update},
+      logEvent('store-restored', String(era), {before, source}),
+      {kind: 'notify-followers', news: update},
       ...(remoteReaders.length === 0
         ? []
         : [
             {
-              kind: 'tell-nodes',
+              kind: 'notify-nodes',
               addresses: remoteReaders,
               news: update,
             } as const,
--- a/packages/fleet/src/storeDuty.ts
+++ b/packages/fleet/src/storeReaderRole.ts
@@ -7,17 +7,17 @@
 import type {BoxDirectory} from './boxDirectory.js';
 import type {FleetAction} from './fleetMessages.js';
 import type {NodeIdentity} from './nodeIdentity.js';
-import {note} from './fleetNote.js';
+import {logEvent} from './logEvent.js';
 import type {RecordStream} from './recordStore.js';
-import {RecordReaders} from './recordReaders.js';
+import {ReaderSelection} from './readerSelection.js';
 import type {FollowedPeers} from './nodeIdentity.js';
-import {StoreReading} from './storeReading.js';
+import {StoreStreams} from './storeStreams.js';
 import type {ReadEnd} from './streamFollower.js';
 
 /** Reads whatever no other node reads on behalf of this one. */
-export class StoreDuty {
-  readonly readers: RecordReaders;
-  private readonly streams: StoreReading;
+export class StoreReaderRole {
+  readonly readers: ReaderSelection;
+  private readonly streams: StoreStreams;
   private serializedPeers = '';
   private wasReadingStore = false;
   private isLeaving = false;
@@ -28,8 +28,8 @@
     isFirstStart: boolean,
     maximumReadMilliseconds?: number,
   ) {
-    this.readers = new RecordReaders(identity, directory);
-    this.streams = new StoreReading(isFirstStart, maximumReadMilliseconds);
+    this.readers = new ReaderSelection(identity, directory);
+    this.streams = new StoreStreams(isFirstStart, maximumReadMilliseconds);
   }
 
   /** Whether this node has read the members of the fleet. */
@@ -38,30 +38,30 @@
   }
 
   /** Whether this node keeps reading the store, for others or for itself. */
-  isFollowing(now: number): boolean {
-    return this.hasReadBoxes && !this.isLeaving && this.readers.hasToRead(now);
+  isReadingStore(now: number): boolean {
+    return this.hasReadBoxes && !this.isLeaving && this.readers.mustRead(now);
   }
 
   /** Whether it reads and the store answers, so that others may rely on it. */
   isServing(now: number): boolean {
-    return this.isFollowing(now) && !this.streams.isInTrouble;
+    return this.isReadingStore(now) && !this.streams.isFailing;
   }
 
   /** Whether neither the store nor a reader informs this node of changes. */
-  lacksNews(now: number): boolean {
-    const isFresh = this.readers.hearsReader(now) || this.isServing(now);
-    return !isFresh && (this.streams.isInTrouble || this.readers.isAlone(now));
+  isStale(now: number): boolean {
+    const isFresh = this.readers.hasActiveReader(now) || this.isServing(now);
+    return !isFresh && (this.streams.isFailing || this.readers.isIsolated(now));
   }
 
   /**
    * Milliseconds since the store answered this node or a reader that it
    * follows.
    */
-  newsAge(now: number): number | undefined {
-    const ownStaleness = this.isFollowing(now)
-      ? this.streams.answerAge(now)
+  staleness(now: number): number | undefined {
+    const ownStaleness = this.isReadingStore(now)
+      ? this.streams.lastAnswerAge(now)
       : undefined;
-    const readerStaleness = this.readers.newsAge(now);
+    const readerStaleness = this.readers.staleness(now);
     return ownStaleness === undefined || readerStaleness === undefined
       ? (ownStaleness ?? readerStaleness)
       : Math.min(ownStaleness, readerStaleness);
@@ -69,7 +69,7 @@
 
   /** Milliseconds since the store answered this node; 0 if it never did. */
   storeAge(now: number): number {
-    return this.streams.answerAge(now) ?? 0;
+    return this.streams.lastAnswerAge(now) ?? 0;
   }
 
   /** Hands reading over to other nodes. */
@@ -78,14 +78,14 @@
   }
 
   /** Returns the peers to follow and the reads that are due. */
-  goOn(now: number): readonly FleetAction[] {
+  advance(now: number): readonly FleetAction[] {
     if (this.hasReadBoxes) {
       this.readers.tick(now);
     }
-    const isReadingStore = this.isFollowing(now);
-    const pollPhase = this.readers.turn();
+    const isReadingStore = this.isReadingStore(now);
+    const pollPhase = this.readers.pollPhase();
     return [
-      ...this.streams.due(now, {isFollowing: isReadingStore, turn: pollPhase}),
+      ...this.streams.due(now, {isReadingStore, pollPhase}),
       ...this.followPeers(now),
       ...this.logRoleChange(isReadingStore),
     ];
@@ -102,8 +102,8 @@
   }
 
   /** A peer reported a newer version than the one in force here. */
-  newerVersionHeard(now: number): void {
-    this.streams.newerVersionHeard(now);
+  newerVersionReported(now: number): void {
+    this.streams.newerVersionReported(now);
   }
 
   /** The store was restored to an earlier state. */
@@ -115,13 +115,13 @@
    * Whether this node is the one reader that maintains records of departed
    * boxes.
    */
-  get actsForOthers(): boolean {
-    return this.readers.isReader && this.readers.turn().phase === 0;
+  get isMaintainer(): boolean {
+    return this.readers.isReader && this.readers.pollPhase().phase === 0;
   }
 
   /** A newer version came into force. */
-  versionCame(): void {
-    this.streams.versionCame();
+  versionAdopted(): void {
+    this.streams.versionAdopted();
   }
 
   private followPeers(now: number): readonly FleetAction[] {
@@ -141,6 +141,6 @@
     this.wasReadingStore = isReadingStore;
     const {isReader} = this.readers;
     const event = isReadingStore ? 'store-reading-begun' : 'store-reading-left';
-    return [note(event, '', {isReader, boxes: this.directory.size})];
+    return [logEvent(event, '', {isReader, boxes: this.directory.size})];
   }
 }
--- a/packages/fleet/src/storeResults.ts
+++ b/packages/fleet/src/storeResultHandler.ts
@@ -2,26 +2,26 @@
 /** Handles the results of calls to the store. */
 
 import type {RandomSource} from '@lockpin/types';
-import type {BoxLearning} from './boxLearning.js';
-import type {ConfigurationLearning} from './configurationLearning.js';
+import type {BoxRecordHandler} from './boxRecordHandler.js';
+import type {ConfigurationHandler} from './configurationHandler.js';
 import type {FleetAction, FleetEvent} from './fleetMessages.js';
-import type {OwnBox} from './ownBox.js';
+import type {AnnouncementHandler} from './announcementHandler.js';
 import type {RecordPage, RecordStream, StoreResult} from './recordStore.js';
-import type {StoreAnswers} from './storeAnswers.js';
-import type {StoreDuty} from './storeDuty.js';
+import type {StoreEraCheck} from './storeEraCheck.js';
+import type {StoreReaderRole} from './storeReaderRole.js';
 
 /** The components that results are passed to. */
-export interface StoreResultsContext {
-  readonly answers: StoreAnswers;
-  readonly duty: StoreDuty;
-  readonly learning: ConfigurationLearning;
-  readonly boxes: BoxLearning;
-  readonly ownBox: OwnBox;
+export interface StoreResultHandlerContext {
+  readonly answers: StoreEraCheck;
+  readonly readerRole: StoreReaderRole;
+  readonly configurationHandler: ConfigurationHandler;
+  readonly boxes: BoxRecordHandler;
+  readonly announcementHandler: AnnouncementHandler;
 }
 
 /** Checks the era of each answer, and dispatches it. */
-export class StoreResults {
-  constructor(private readonly context: StoreResultsContext) {}
+export class StoreResultHandler {
+  constructor(private readonly context: StoreResultHandlerContext) {}
 
   /** A read has ended. */
   readEnded(
@@ -29,7 +29,7 @@
     random: RandomSource,
     {stream, read, result}: FleetEvent & {readonly kind: 'read-ended'},
   ): readonly FleetAction[] {
-    const {answers, duty: readerRole} = this.context;
+    const {answers, readerRole} = this.context;
     const checked = answers.check(now, stream, result);
     const end = {read, result: checked.result};
     return [
@@ -44,7 +44,7 @@
     now: number,
     result: StoreResult<undefined>,
   ): readonly FleetAction[] {
-    const {answers, ownBox: announcementHandler} = this.context;
+    const {answers, announcementHandler} = this.context;
     const checked = answers.check(now, 'write', result);
     return [
       ...checked.actions,
@@ -57,7 +57,7 @@
     stream: RecordStream,
     page: RecordPage,
   ): readonly FleetAction[] {
-    const {learning: configurationHandler, boxes} = this.context;
+    const {configurationHandler, boxes} = this.context;
     return stream === 'configuration'
       ? configurationHandler.fromStore(now, page)
       : boxes.fromStore(now, page);
--- a/packages/fleet/src/storeReading.ts
+++ b/packages/fleet/src/storeStreams.ts
@@ -3,12 +3,12 @@
 
 import type {RandomSource} from '@lockpin/types';
 import type {FleetAction} from './fleetMessages.js';
-import {note} from './fleetNote.js';
+import {logEvent} from './logEvent.js';
 import {RECORD_STREAMS} from './recordStore.js';
 import type {RecordStream, StoreFailure} from './recordStore.js';
-import type {ReadingTurn} from './readingTurn.js';
+import type {PollPhase} from './pollPhase.js';
 import {StreamFollower} from './streamFollower.js';
-import type {FirstRead, ReadEnd} from './streamFollower.js';
+import type {InitialRead, ReadEnd} from './streamFollower.js';
 
 /** Consecutive failed reads after which the store counts as lost. */
 const FAILURES_UNTIL_LOST = 2;
@@ -27,22 +27,22 @@
 };
 
 /** A node's current role in reading the store for the fleet. */
-export interface ReadingPart {
+export interface ReadRole {
   /** The node keeps reading, for others or for itself. */
-  readonly isFollowing: boolean;
-  readonly turn: ReadingTurn;
+  readonly isReadingStore: boolean;
+  readonly pollPhase: PollPhase;
 }
 
 /** Follows both streams; logs when the store is lost and when it is back. */
-export class StoreReading {
+export class StoreStreams {
   private readonly followers: Readonly<Record<RecordStream, StreamFollower>>;
   private hasLostStore = false;
   private lastAnswerAt: number | undefined;
 
   constructor(isFirstStart: boolean, maximumReadMilliseconds?: number) {
-    const firstBoxes: FirstRead = isFirstStart
+    const firstBoxes: InitialRead = isFirstStart
       ? {
-          kind: 'whole-history',
+          kind: 'full-history',
           afterMilliseconds: FIRST_START_DELAY_MILLISECONDS,
         }
       : {kind: 'newest'};
@@ -65,7 +65,7 @@
    * The store may not deliver newer configurations, so peers are queried
    * instead.
    */
-  get isInTrouble(): boolean {
+  get isFailing(): boolean {
     return this.isLost || this.followers.configuration.failureCount > 0;
   }
 
@@ -77,15 +77,15 @@
   /**
    * Milliseconds since the store last answered a read; undefined before it did.
    */
-  answerAge(now: number): number | undefined {
+  lastAnswerAge(now: number): number | undefined {
     return this.lastAnswerAt === undefined
       ? undefined
       : now - this.lastAnswerAt;
   }
 
   /** A peer has a newer version than the store has delivered to this node. */
-  newerVersionHeard(now: number): void {
-    this.followers.configuration.expectNews(now);
+  newerVersionReported(now: number): void {
+    this.followers.configuration.expectUpdate(now);
   }
 
   /** The store was restored to an earlier state. */
@@ -94,8 +94,8 @@
   }
 
   /** A newer version came into force, from whichever source. */
-  versionCame(): void {
-    this.followers.configuration.newsCame();
+  versionAdopted(): void {
+    this.followers.configuration.updateReceived();
   }
 
   /**
@@ -104,7 +104,7 @@
    */
   due(
     now: number,
-    {isFollowing: isReadingStore, turn: pollPhase}: ReadingPart,
+    {isReadingStore, pollPhase}: ReadRole,
   ): readonly FleetAction[] {
     return RECORD_STREAMS.flatMap((stream) => {
       const follower = this.followers[stream];
@@ -130,18 +130,18 @@
     this.lastAnswerAt = now;
     const wasLost = this.hasLostStore;
     this.hasLostStore = false;
-    return wasLost ? [note('store-regained', stream, {})] : [];
+    return wasLost ? [logEvent('store-regained', stream, {})] : [];
   }
 
   private logTimedOutRead(
     now: number,
     stream: RecordStream,
   ): readonly FleetAction[] {
-    const timedOut = this.followers[stream].giveUp(now);
+    const timedOut = this.followers[stream].timeOutOverdue(now);
     return timedOut === undefined
       ? []
       : [
-          note('store-read-hung', stream, {...timedOut}),
+          logEvent('store-read-hung', stream, {...timedOut}),
           ...this.logLoss(stream, NO_ANSWER),
         ];
   }
@@ -155,6 +155,6 @@
       return [];
     }
     this.hasLostStore = true;
-    return [note('store-lost', stream, {kind, detail, failureCount})];
+    return [logEvent('store-lost', stream, {kind, detail, failureCount})];
   }
 }
--- a/packages/fleet/src/streamFollower.ts
+++ b/packages/fleet/src/streamFollower.ts
@@ -2,8 +2,8 @@
 /** Schedules the reads of one stream of the store. */
 
 import type {RandomSource, StreamPosition} from '@lockpin/types';
-import {waitForTurn} from './readingTurn.js';
-import type {ReadingTurn} from './readingTurn.js';
+import {pollWait} from './pollPhase.js';
+import type {PollPhase} from './pollPhase.js';
 import type {RecordPage, RecordStream, StoreResult} from './recordStore.js';
 
 /** A read that is to be started now. */
@@ -29,7 +29,7 @@
 }
 
 /** A read that was not answered in time. */
-export interface HungRead {
+export interface TimedOutRead {
   readonly milliseconds: number;
 }
 
@@ -83,10 +83,10 @@
 const HISTORY_START: StreamPosition = {era: 0, offset: 0};
 
 /** What the first read of a stream requests. */
-export type FirstRead =
+export type InitialRead =
   | {readonly kind: 'newest'}
   /** The complete history, at some time after the process started. */
-  | {readonly kind: 'whole-history'; readonly afterMilliseconds: number};
+  | {readonly kind: 'full-history'; readonly afterMilliseconds: number};
 
 /** A read that was started and may still be answered. */
 interface PendingRead {
@@ -118,12 +118,11 @@
 
   constructor(
     private readonly stream: RecordStream,
-    private readonly initialRead: FirstRead = {kind: 'newest'},
+    private readonly initialRead: InitialRead = {kind: 'newest'},
     /** Maximum wait of a read for records, in milliseconds. */
     private readonly maximumReadMilliseconds = Number.POSITIVE_INFINITY,
   ) {
-    this.from =
-      initialRead.kind === 'whole-history' ? HISTORY_START : undefined;
+    this.from = initialRead.kind === 'full-history' ? HISTORY_START : undefined;
   }
 
   /** Number of consecutive failed reads. */
@@ -147,17 +146,17 @@
   }
 
   /** A peer has something that this stream should have delivered. */
-  expectNews(now: number): void {
+  expectUpdate(now: number): void {
     this.updateExpectedSince ??= now;
   }
 
   /** The expected update arrived, from whichever source. */
-  newsCame(): void {
+  updateReceived(): void {
     this.updateExpectedSince = undefined;
   }
 
   /** Stops waiting for an overdue read; reports each one once. */
-  giveUp(now: number): HungRead | undefined {
+  timeOutOverdue(now: number): TimedOutRead | undefined {
     const {current} = this;
     if (current === undefined || now < this.deadlineOf(current)) {
       return undefined;
@@ -172,7 +171,7 @@
   }
 
   /** The read that is due now, if any. */
-  due(now: number, pollPhase: ReadingTurn): StreamRead | undefined {
+  due(now: number, pollPhase: PollPhase): StreamRead | undefined {
     this.nextReadAt ??= now + this.firstDelay;
     const isOverdue = this.isUpdateOverdue(now);
     if (isOverdue) {
@@ -219,7 +218,7 @@
 
   private begin(
     now: number,
-    pollPhase: ReadingTurn,
+    pollPhase: PollPhase,
     isProbe: boolean,
   ): StreamRead {
     const {stream, from} = this;
@@ -228,7 +227,7 @@
     const waitMilliseconds =
       from === undefined || isProbe
         ? 0
-        : waitForTurn(now, stream, pollPhase, this.maximumReadMilliseconds);
+        : pollWait(now, stream, pollPhase, this.maximumReadMilliseconds);
     this.current = {read, startedAt: now, waitMilliseconds};
     this.pending.set(read, this.current);
     return from === undefined
--- a/packages/fleet/src/suspectRequests.ts
+++ b/packages/fleet/src/suspectRequests.ts
@@ -13,7 +13,7 @@
 } from '@lockpin/quarantine';
 import type {BoxRecord} from './boxRecord.js';
 import type {FleetAction} from './fleetMessages.js';
-import {note} from './fleetNote.js';
+import {logEvent} from './logEvent.js';
 
 /** Collects what is learnt until the resulting actions are taken. */
 export class SuspectRequests {
@@ -103,7 +103,7 @@
   /**
    * Actions for the log and for pending calls that follow from new information.
    */
-  takeFindings(now: number): readonly FleetAction[] {
+  takeActions(now: number): readonly FleetAction[] {
     const {unprocessed} = this;
     if (unprocessed.length === 0) {
       return [];
@@ -118,7 +118,7 @@
   /**
    * True once after there was a change that the other boxes have to receive.
    */
-  takeHasMoreToTell(): boolean {
+  takeHasChanges(): boolean {
     const {hasChanges} = this;
     this.hasChanges = false;
     return hasChanges;
@@ -147,14 +147,14 @@
   const remaining = Math.max(0, Math.round(until - now));
   if (remaining > 0) {
     return [
-      note('request-quarantined', digest, {crashes, survived, remaining}),
+      logEvent('request-quarantined', digest, {crashes, survived, remaining}),
       {kind: 'request-quarantined', digest},
     ];
   }
   if (liftedAt > 0 && crashes === 0) {
-    return [note('quarantine-lifted', digest, {liftedAt})];
+    return [logEvent('quarantine-lifted', digest, {liftedAt})];
   }
   return isSuspected(standing)
-    ? [note('request-suspected', digest, {crashes, survived})]
+    ? [logEvent('request-suspected', digest, {crashes, survived})]
     : [];
 }
--- a/packages/fleet/src/weightedSpread.ts
+++ b/packages/fleet/src/weightedRoundRobin.ts
@@ -10,7 +10,7 @@
  * point is random, so that entries that start together do not send their first
  * calls to the same service.
  */
-export class WeightedSpread {
+export class WeightedRoundRobin {
   private readonly credits: number[];
   private readonly total: number;
 
--- a/packages/node/src/__tests__/quarantineTraffic.test.ts
+++ b/packages/node/src/__tests__/quarantineTraffic.test.ts
@@ -5,7 +5,7 @@
  */
 
 import {expect, it} from 'vitest';
-import type {FleetNews} from '@lockpin/fleet';
+import type {FleetUpdate} from '@lockpin/fleet';
 import {FleetWorld} from '../../../fleet/src/__tests__/__fixtures__/fleetWorld.js';
 import {writeFrame} from '../request/frames.js';
 
@@ -26,7 +26,7 @@
 
 it('stays within the control traffic budget of a node in a large data centre', () => {
   const bytesByBox = new Map<string, number>();
-  const count = (box: string, news: FleetNews): void => {
+  const count = (box: string, news: FleetUpdate): void => {
     const {length} = writeFrame({kind: 'news', news});
     bytesByBox.set(box, (bytesByBox.get(box) ?? 0) + length);
   };
--- a/packages/node/src/process/fleetActions.ts
+++ b/packages/node/src/process/fleetActions.ts
@@ -1,7 +1,7 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
 /** Dispatches actions of the fleet's state machine to their handlers. */
 
-import type {FleetAction, OwnUpstream, PeerQuestion} from '@lockpin/fleet';
+import type {FleetAction, OwnUpstream, PeerQuery} from '@lockpin/fleet';
 import type {DecisionLog} from './decisionLog.js';
 import type {FleetHostListeners} from './fleetEnvironment.js';
 import type {FleetStoreCalls} from './fleetStoreCalls.js';
@@ -20,7 +20,7 @@
    * started.
    */
   readonly listeners: () => FleetHostListeners | undefined;
-  readonly askPeer: (address: string, query: PeerQuestion) => void;
+  readonly askPeer: (address: string, query: PeerQuery) => void;
   readonly configurationChanged: (change: ConfigurationChange) => void;
   /** The announcing process gets the refusal as the result of its call. */
   readonly announcementRefused: () => void;
@@ -37,23 +37,23 @@
     case 'read-newest':
     case 'follow':
     case 'write':
-    case 'drop-record':
-    case 'write-for':
+    case 'delete-record':
+    case 'write-on-behalf':
       handlers.store.perform(action);
       break;
-    case 'ask-peer':
-      handlers.askPeer(action.address, action.question);
+    case 'query-peer':
+      handlers.askPeer(action.address, action.query);
       break;
     case 'follow-peers':
       listeners?.onFollow(action.peers);
       break;
-    case 'tell-followers':
+    case 'notify-followers':
       listeners?.onFollowerNews(action.news);
       break;
-    case 'tell-entries':
+    case 'notify-entries':
       listeners?.onEntryNews(action.news);
       break;
-    case 'tell-nodes':
+    case 'notify-nodes':
       listeners?.onNodeNews(action.addresses, action.news);
       break;
     case 'request-quarantined':
@@ -68,7 +68,7 @@
     case 'upstream-changed':
       handlers.upstreamChanged(action.upstream);
       break;
-    case 'note':
+    case 'log-event':
       handlers.log.event(action.event, {
         subject: action.subject,
         ...action.detail,
--- a/packages/node/src/process/fleetBrains.ts
+++ b/packages/node/src/process/fleetBrains.ts
@@ -5,7 +5,7 @@
 
 import {EntryStateMachine, GuardStateMachine} from '@lockpin/brain';
 import type {EntrySettings} from '@lockpin/brain';
-import {FleetBrain, longestReadFor} from '@lockpin/fleet';
+import {FleetStateMachine, maximumReadFor} from '@lockpin/fleet';
 import type {ReadConfiguration} from '@lockpin/fleet';
 import {fleetEntrySettings} from './fleetEntrySettings.js';
 import {fleetGuardSettings} from './fleetGuardSettings.js';
@@ -15,7 +15,7 @@
 
 /** Dependencies of the state machines of calls. */
 export interface CallBrainsContext {
-  readonly fleet: FleetBrain;
+  readonly fleet: FleetStateMachine;
   /** Identity of this process. */
   readonly incarnation: string;
   readonly startedAt: number;
@@ -33,13 +33,17 @@
 export function createFleetBrain(
   settings: FleetNodeSettings,
   readConfiguration: ReadConfiguration,
-): FleetBrain {
+): FleetStateMachine {
   const {box, dataCentre, peerAddress} = settings;
-  return new FleetBrain({box, dataCentre, peerAddress}, readConfiguration, {
-    isFirst: settings.isFirstStart,
-    dataCentres: settings.dataCentres,
-    longestRead: longestReadFor(settings.keys),
-  });
+  return new FleetStateMachine(
+    {box, dataCentre, peerAddress},
+    readConfiguration,
+    {
+      isFirstStart: settings.isFirstStart,
+      dataCentres: settings.dataCentres,
+      maximumReadMilliseconds: maximumReadFor(settings.keys),
+    },
+  );
 }
 
 /**
--- a/packages/node/src/process/fleetComposition.ts
+++ b/packages/node/src/process/fleetComposition.ts
@@ -4,7 +4,7 @@
 import 'reflect-metadata';
 import {container as root} from 'tsyringe';
 import type {DependencyContainer, InjectionToken} from 'tsyringe';
-import type {PeerKnowledge, PeerQuestion} from '@lockpin/fleet';
+import type {PeerQueryReply, PeerQuery} from '@lockpin/fleet';
 import type {Logger} from '@lockpin/logger';
 import {makeIncarnation} from '@lockpin/once';
 import {FIRST_FAILED_STATUS, onClockGain, steadyClock} from '@lockpin/utils';
@@ -47,7 +47,7 @@
   host: Symbol('host') as InjectionToken<FleetHost>,
   pools: Symbol('pools') as InjectionToken<UpstreamPools>,
   channels: Symbol('channels') as InjectionToken<
-    PeerChannels<PeerQuestion, PeerKnowledge>
+    PeerChannels<PeerQuery, PeerQueryReply>
   >,
   peerTraffic: Symbol('peerTraffic') as InjectionToken<PeerTraffic>,
   news: Symbol('news') as InjectionToken<Subscribers<PeerNews>>,
@@ -56,7 +56,7 @@
   guardService: Symbol('guardService') as InjectionToken<GuardService>,
   entryService: Symbol('entryService') as InjectionToken<EntryService>,
   peerServer: Symbol('peerServer') as InjectionToken<
-    PeerServer<PeerQuestion, PeerKnowledge>
+    PeerServer<PeerQuery, PeerQueryReply>
   >,
 } as const;
 
@@ -123,7 +123,7 @@
 
 function createChannels(
   dependencies: DependencyContainer,
-): PeerChannels<PeerQuestion, PeerKnowledge> {
+): PeerChannels<PeerQuery, PeerQueryReply> {
   const log = dependencies.resolve(FLEET_TOKENS.log);
   const metrics = dependencies.resolve(FLEET_TOKENS.metrics);
   return new PeerChannels(new ControlTraffic(), (peer, cause) => {
@@ -279,12 +279,12 @@
 
 function createPeerServer(
   dependencies: DependencyContainer,
-): PeerServer<PeerQuestion, PeerKnowledge> {
+): PeerServer<PeerQuery, PeerQueryReply> {
   const host = dependencies.resolve(FLEET_TOKENS.host);
   const guard = dependencies.resolve(FLEET_TOKENS.guardService);
   const news = createNewsHandlers(dependencies);
   const begin: BeginExchange = (head, handlers) => guard.begin(head, handlers);
-  return new PeerServer<PeerQuestion, PeerKnowledge>(
+  return new PeerServer<PeerQuery, PeerQueryReply>(
     {
       call: (stream) => serveGuardStream(stream, begin),
       exchanges: (stream) => serveExchangeStream(stream, begin, news),
--- a/packages/node/src/process/fleetEnvironment.ts
+++ b/packages/node/src/process/fleetEnvironment.ts
@@ -3,10 +3,10 @@
 
 import type {GuardEvent} from '@lockpin/brain';
 import type {
-  FleetNews,
+  FleetUpdate,
   FollowedPeers,
-  PeerKnowledge,
-  PeerQuestion,
+  PeerQueryReply,
+  PeerQuery,
   RecordStore,
 } from '@lockpin/fleet';
 import type {LimitMessage} from '@lockpin/limits';
@@ -28,8 +28,8 @@
   readonly store: RecordStore;
   readonly askPeer: (
     address: string,
-    query: PeerQuestion,
-    done: (reply: PeerKnowledge | undefined) => void,
+    query: PeerQuery,
+    done: (reply: PeerQueryReply | undefined) => void,
   ) => void;
 }
 
@@ -41,7 +41,7 @@
   /** Replaces the set of nodes to follow. */
   readonly onFollow: (peers: FollowedPeers) => void;
   /** Sends an update to the nodes that follow this one. */
-  readonly onFollowerNews: (news: FleetNews) => void;
+  readonly onFollowerNews: (news: FleetUpdate) => void;
   /** Sends a rate limit message to another box. */
   readonly onLimitMessage: (box: string, message: LimitMessage) => void;
   /** Called if a box did not answer; the connection to it may be dead. */
@@ -49,9 +49,12 @@
   /** Called if the guard of this node changed the state of its upstream. */
   readonly onStanding: (upstream: string, hint: LoadHint) => void;
   /** Sends an update to the nodes whose entries call this node. */
-  readonly onEntryNews: (news: FleetNews) => void;
+  readonly onEntryNews: (news: FleetUpdate) => void;
   /** Sends an update to the nodes at these addresses. */
-  readonly onNodeNews: (addresses: readonly string[], news: FleetNews) => void;
+  readonly onNodeNews: (
+    addresses: readonly string[],
+    news: FleetUpdate,
+  ) => void;
   /** Called if no upstream may run this request any more. */
   readonly onQuarantined: (requestDigest: string) => void;
   /** Called after the machine, and with it all timers, was suspended. */
--- a/packages/node/src/process/fleetHost.ts
+++ b/packages/node/src/process/fleetHost.ts
@@ -6,10 +6,10 @@
 import type {
   AnnouncementProblem,
   FleetAction,
-  FleetBrain,
+  FleetStateMachine,
   FleetEvent,
-  FleetNews,
-  PeerQuestion,
+  FleetUpdate,
+  PeerQuery,
   ReadConfiguration,
   UpstreamAnnouncement,
 } from '@lockpin/fleet';
@@ -40,7 +40,7 @@
 
 /** Runs the state machines of one node and performs their actions. */
 export class FleetHost {
-  readonly fleet: FleetBrain;
+  readonly fleet: FleetStateMachine;
   readonly guard: GuardStateMachine;
   readonly entry: EntryStateMachine;
   readonly limits: CustomerLimits;
@@ -149,8 +149,8 @@
    * reachable.
    */
   private queryReader(): boolean {
-    this.handle({kind: 'unknown-key-shown'});
-    return this.fleet.isAskingPeer;
+    this.handle({kind: 'unknown-key-presented'});
+    return this.fleet.hasPendingPeerQuery;
   }
 
   /** Returns the address at which a box's node accepts calls of other nodes. */
@@ -175,7 +175,7 @@
       this.tick();
       // Token pools start before the first limit is declared, so that it is
       // enforced at once.
-      if (this.currentRouting?.customers.asksForKeys) {
+      if (this.currentRouting?.customers.requiresKeys) {
         this.limits.tick();
       }
       listeners.onGuardEvent({kind: 'tick'});
@@ -233,18 +233,18 @@
     const hasGrown = followers > this.followers;
     this.followers = followers;
     if (hasGrown) {
-      this.handle({kind: 'follower-came'});
+      this.handle({kind: 'follower-added'});
     }
   }
 
   /** Handles an update from a followed node. */
-  newsTold(news: FleetNews): void {
-    this.handle({kind: 'news-told', news});
+  newsTold(news: FleetUpdate): void {
+    this.handle({kind: 'update-received', news});
   }
 
   /** Handles a peer's report of the version in force there. */
   peerVersionHeard(address: string, version: number): void {
-    this.handle({kind: 'peer-version-heard', address, version});
+    this.handle({kind: 'peer-version-reported', address, version});
   }
 
   /**
@@ -287,9 +287,9 @@
     return actions;
   }
 
-  private queryPeer(address: string, query: PeerQuestion): void {
+  private queryPeer(address: string, query: PeerQuery): void {
     this.environment.askPeer(address, query, (reply) => {
-      this.handle({kind: 'peer-replied', address, knowledge: reply});
+      this.handle({kind: 'peer-replied', address, reply});
       this.keys.answered(reply !== undefined);
     });
   }
--- a/packages/node/src/process/fleetKeys.ts
+++ b/packages/node/src/process/fleetKeys.ts
@@ -1,11 +1,11 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
 /** Authorization of callers by their keys, and confirmation of unknown keys. */
 
-import {mayServeKnownKeys} from '@lockpin/fleet';
+import {mayAcceptKnownKeys} from '@lockpin/fleet';
 import type {
   CustomerTable,
   DeclaredCustomer,
-  FleetBrain,
+  FleetStateMachine,
   KeyPolicy,
 } from '@lockpin/fleet';
 import type {Clock, RefusalReason, Result} from '@lockpin/types';
@@ -15,7 +15,7 @@
 /** Dependencies of the key checks. */
 export interface FleetKeysContext {
   readonly clock: Clock;
-  readonly fleet: Pick<FleetBrain, 'duty' | 'isCurrent'>;
+  readonly fleet: Pick<FleetStateMachine, 'readerRole' | 'isCurrent'>;
   readonly policy: () => KeyPolicy;
   /** Returns undefined before any configuration is known. */
   readonly customers: () => CustomerTable | undefined;
@@ -69,6 +69,6 @@
 
   private mayAcceptKeys(): boolean {
     const {fleet, clock, policy} = this.context;
-    return mayServeKnownKeys(policy(), fleet.duty.newsAge(clock()));
+    return mayAcceptKnownKeys(policy(), fleet.readerRole.staleness(clock()));
   }
 }
--- a/packages/node/src/process/fleetStoreCalls.ts
+++ b/packages/node/src/process/fleetStoreCalls.ts
@@ -15,7 +15,7 @@
 /** An action that calls the store. */
 export type StoreAction = FleetAction & {
   readonly kind:
-    'read-newest' | 'follow' | 'write' | 'drop-record' | 'write-for';
+    'read-newest' | 'follow' | 'write' | 'delete-record' | 'write-on-behalf';
 };
 
 /** Calls the store and reports each result to the fleet's state machine. */
@@ -42,10 +42,10 @@
       case 'write':
         void this.write(action.record);
         break;
-      case 'drop-record':
+      case 'delete-record':
         void this.deleteRecord(action.key);
         break;
-      case 'write-for':
+      case 'write-on-behalf':
         void this.writeOnBehalf(action.record);
         break;
     }
--- a/packages/node/src/request/frameTypes.ts
+++ b/packages/node/src/request/frameTypes.ts
@@ -2,7 +2,7 @@
 /** Frames between an entry and a guard: the parts of an exchange, and news. */
 
 import type {OfferTerms} from '@lockpin/brain';
-import type {FleetNews} from '@lockpin/fleet';
+import type {FleetUpdate} from '@lockpin/fleet';
 import type {LimitMessage} from '@lockpin/limits';
 import type {LoadHint} from '@lockpin/routing';
 import type {Refusal, Repetition} from '@lockpin/types';
@@ -99,7 +99,7 @@
   /** The sender starts or stops following the other end. */
   | {readonly kind: 'follow'; readonly isWanted: boolean}
   /** News for the followers of the sender. */
-  | FleetNews
+  | FleetUpdate
   /**
    * A loan or draw of limit tokens, and the pool's reply on the same stream.
    */
