--- a/packages/brain/src/__tests__/__fixtures__/controlWorld.ts
+++ b/packages/brain/src/__tests__/__fixtures__/controlWorld.ts
@@ -1,7 +1,7 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
 /** Simulates control planes of nodes on a virtual clock with a fake log. */
 
-import {makeIncarnation} from '@lockpin/once';
+import {createIncarnation} from '@lockpin/once';
 import {seededRandom} from '@lockpin/utils';
 import type {ChangeRecord} from '@lockpin/types';
 import {ControlStateMachine} from '../../control/controlStateMachine.js';
@@ -184,7 +184,7 @@
         peerAddress: box,
         callerAddress: '',
         operatorAddress: '',
-        incarnation: makeIncarnation(this.now, this.random),
+        incarnation: createIncarnation(this.now, this.random),
       },
       this.settings,
     );
--- a/packages/brain/src/guard/callEndHandler.ts
+++ b/packages/brain/src/guard/callEndHandler.ts
@@ -59,7 +59,7 @@
         ...after,
       ];
     }
-    this.services.ledgerOf(call)?.broke(call.onceKey ?? '');
+    this.services.ledgerOf(call)?.interrupted(call.onceKey ?? '');
     return [
       refuse(now, call, 'upstream-failed', 'unknown', upstream),
       ...after,
@@ -109,7 +109,7 @@
       return [];
     }
     this.lifecycle.remove(callId);
-    this.services.ledgerOf(call)?.broke(call.onceKey ?? '');
+    this.services.ledgerOf(call)?.interrupted(call.onceKey ?? '');
     const isFault =
       reason === 'deadline-passed' && upstream.isOverdue(now, callId);
     const wasDoubted = upstream.isDoubted(now);
--- a/packages/brain/src/guard/callLifecycle.ts
+++ b/packages/brain/src/guard/callLifecycle.ts
@@ -240,7 +240,7 @@
     {call, upstream}: AcceptedCall,
   ): readonly GuardAction[] {
     this.calls.delete(call.id);
-    this.services.ledgerOf(call)?.broke(call.onceKey ?? '');
+    this.services.ledgerOf(call)?.interrupted(call.onceKey ?? '');
     return [
       {kind: 'abort', callId: call.id},
       refuse(now, call, 'upstream-failed', 'unknown', upstream),
--- a/packages/node/src/__tests__/brokenAnswers.test.ts
+++ b/packages/node/src/__tests__/brokenAnswers.test.ts
@@ -47,11 +47,11 @@
     pools,
     protocol: {
       callHeaders: ({head}) => head.headers,
-      judge: () => 'answer',
-      holdsUnframed: true,
+      classifyAnswer: () => 'answer',
+      buffersUnframed: true,
     },
     every: () => () => undefined,
-    onOther: () => undefined,
+    onNodeAction: () => undefined,
   });
   service.handle({
     kind: 'services-changed',
--- a/packages/node/src/__tests__/decisionLog.test.ts
+++ b/packages/node/src/__tests__/decisionLog.test.ts
@@ -8,7 +8,7 @@
 import {BoundedWriter} from '../process/boundedWriter.js';
 import {DecisionLog} from '../process/decisionLog.js';
 import {createPrometheusMetrics} from '../process/prometheusMetrics.js';
-import type {CallRecord} from '../request/callStory.js';
+import type {CallRecord} from '../request/attemptHistory.js';
 
 class TestLog {
   now = 0;
--- a/packages/node/src/__tests__/frames.test.ts
+++ b/packages/node/src/__tests__/frames.test.ts
@@ -4,7 +4,7 @@
 import {describe, expect, it} from 'vitest';
 import {decodeDocument, encodeDocument} from '../connection/codec.js';
 import type {CallHead, Frame} from '../request/frames.js';
-import {readFrame, writeFrame} from '../request/frames.js';
+import {decodeFrame, encodeFrame} from '../request/frames.js';
 import {PeerTraffic} from '../process/peerTraffic.js';
 
 const HEAD: CallHead = {
@@ -146,11 +146,11 @@
 
 describe('a frame', () => {
   it.each(FRAMES)('is unchanged by encoding and decoding: $kind', (frame) => {
-    expect(readFrame(writeFrame(frame))).toEqual(frame);
+    expect(decodeFrame(encodeFrame(frame))).toEqual(frame);
   });
 
   it('stays below the size limit for an offer and its refusal', () => {
-    const [offer, refusal] = FRAMES.map((frame) => writeFrame(frame).length);
+    const [offer, refusal] = FRAMES.map((frame) => encodeFrame(frame).length);
     expect(offer).toBeLessThan(OFFER_BYTES);
     expect(refusal).toBeLessThan(REFUSAL_BYTES);
   });
--- a/packages/node/src/__tests__/guardService.test.ts
+++ b/packages/node/src/__tests__/guardService.test.ts
@@ -49,7 +49,7 @@
       const timer = setInterval(run, milliseconds);
       return () => clearInterval(timer);
     },
-    onOther: () => undefined,
+    onNodeAction: () => undefined,
   });
   service.handle({
     kind: 'services-changed',
@@ -191,7 +191,7 @@
     const short = exchange(head('2', {remaining: 20_000}));
     suspended = 30_000;
     const begun = Date.now();
-    service.reviewDeadlines();
+    service.restartDeadlineTimers();
     expect(await short.ending).toMatchObject({
       frame: {refusal: {reason: 'deadline-passed'}},
     });
--- a/packages/node/src/__tests__/quarantineTraffic.test.ts
+++ b/packages/node/src/__tests__/quarantineTraffic.test.ts
@@ -7,7 +7,7 @@
 import {expect, it} from 'vitest';
 import type {FleetUpdate} from '@lockpin/fleet';
 import {FleetWorld} from '../../../fleet/src/__tests__/__fixtures__/fleetWorld.js';
-import {writeFrame} from '../request/frames.js';
+import {encodeFrame} from '../request/frames.js';
 
 /** Boxes of a large data centre. */
 const BOXES = 230;
@@ -27,7 +27,7 @@
 it('stays within the control traffic budget of a node in a large data centre', () => {
   const bytesByBox = new Map<string, number>();
   const count = (box: string, news: FleetUpdate): void => {
-    const {length} = writeFrame({kind: 'news', news});
+    const {length} = encodeFrame({kind: 'news', news});
     bytesByBox.set(box, (bytesByBox.get(box) ?? 0) + length);
   };
   const fleet = new FleetWorld({boxes: BOXES, dataCentres: 1, seed: 3});
--- a/packages/node/src/__tests__/requestDigest.test.ts
+++ b/packages/node/src/__tests__/requestDigest.test.ts
@@ -5,7 +5,7 @@
 import {describe, expect, it} from 'vitest';
 import type {ArrivedRequest} from '../request/callerExchange.js';
 import type {CallerRequest} from '../request/callerRequest.js';
-import {digestOf} from '../request/entryCall.js';
+import {computeRequestDigest} from '../request/entryCall.js';
 
 interface Sent {
   readonly method?: string;
@@ -35,7 +35,7 @@
     caller: sent.caller ?? 'shop',
     path: sent.path ?? '/claims',
   };
-  return digestOf(
+  return computeRequestDigest(
     {method, headers: {host, 'content-length': length}} as IncomingMessage,
     call as unknown as CallerRequest,
     body,
--- a/packages/node/src/process/composition.ts
+++ b/packages/node/src/process/composition.ts
@@ -7,7 +7,7 @@
 import {createLogger} from '@lockpin/logger';
 import type {Logger} from '@lockpin/logger';
 import {isUsable} from '@lockpin/membership';
-import {makeIncarnation} from '@lockpin/once';
+import {createIncarnation} from '@lockpin/once';
 import {BoxListClient} from '../connection/boxListClient.js';
 import {DatagramSocket} from '../connection/datagramSocket.js';
 import {LogClient} from '../connection/logClient.js';
@@ -186,7 +186,7 @@
     settings;
   const environment = dependencies.resolve(TOKENS.environment);
   const {clock, random} = environment;
-  const incarnation = makeIncarnation(clock(), random);
+  const incarnation = createIncarnation(clock(), random);
   return new NodeHost(
     {
       box,
@@ -215,7 +215,7 @@
     every,
     brain: host.guard,
     pools: dependencies.resolve(TOKENS.pools),
-    onOther: (action) => host.guardActed(action),
+    onNodeAction: (action) => host.guardActed(action),
   });
 }
 
--- a/packages/node/src/process/decisionLog.ts
+++ b/packages/node/src/process/decisionLog.ts
@@ -6,7 +6,7 @@
  * reports how many.
  */
 
-import type {CallRecord} from '../request/callStory.js';
+import type {CallRecord} from '../request/attemptHistory.js';
 import type {GuardRecord} from '../request/guardRecord.js';
 import {LineAllowance} from './lineAllowance.js';
 
--- a/packages/node/src/process/fleetComposition.ts
+++ b/packages/node/src/process/fleetComposition.ts
@@ -6,17 +6,17 @@
 import type {DependencyContainer, InjectionToken} from 'tsyringe';
 import type {PeerQueryReply, PeerQuery} from '@lockpin/fleet';
 import type {Logger} from '@lockpin/logger';
-import {makeIncarnation} from '@lockpin/once';
+import {createIncarnation} from '@lockpin/once';
 import {FIRST_FAILED_STATUS, onClockGain, steadyClock} from '@lockpin/utils';
 import {PeerChannels} from '../connection/peerChannels.js';
 import {PeerServer} from '../connection/peerServer.js';
 import {UpstreamPools} from '../connection/upstreamPools.js';
-import type {CallRecord} from '../request/callStory.js';
+import type {CallRecord} from '../request/attemptHistory.js';
 import type {PeerNews} from '../request/frames.js';
 import {EntryService} from '../request/entryService.js';
 import type {BeginExchange} from '../request/exchange.js';
 import {serveExchangeStream} from '../request/exchangeStreamServer.js';
-import type {NewsExchange} from '../request/exchangeStreamServer.js';
+import type {NewsHandlers} from '../request/exchangeStreamServer.js';
 import {GuardService} from '../request/guardService.js';
 import {serveGuardStream} from '../request/guardStreams.js';
 import {RemoteExchanges} from '../request/remoteExchanges.js';
@@ -103,7 +103,7 @@
     FLEET_TOKENS.ports,
   );
   const channels = dependencies.resolve(FLEET_TOKENS.channels);
-  const incarnation = makeIncarnation(steadyClock(), Math.random);
+  const incarnation = createIncarnation(steadyClock(), Math.random);
   return new FleetHost(
     settings,
     incarnation,
@@ -153,7 +153,7 @@
   );
 }
 
-function createNewsHandlers(dependencies: DependencyContainer): NewsExchange {
+function createNewsHandlers(dependencies: DependencyContainer): NewsHandlers {
   const host = dependencies.resolve(FLEET_TOKENS.host);
   const subscribers = dependencies.resolve(FLEET_TOKENS.news);
   const followers = dependencies.resolve(FLEET_TOKENS.followers);
@@ -210,7 +210,7 @@
     brain: host.guard,
     pools: dependencies.resolve(FLEET_TOKENS.pools),
     protocol: upstreamProtocol,
-    onOther: (action) => host.guardActed(action),
+    onNodeAction: (action) => host.guardActed(action),
     onEnded: (record) => {
       log.guardCall(record);
       const {outcome, ranMilliseconds, head, doubtReason} = record;
@@ -255,7 +255,7 @@
     incarnation: () => undefined,
     isOwnBox: (box) => box === settings.box,
     needsGo: (box) => box !== settings.box,
-    onSilence: (box) => remote.wasSilent(host.peerAddress(box)),
+    onSilence: (box) => remote.countUnansweredOffer(host.peerAddress(box)),
     onEnded: (record) => {
       log.call(record);
       if (hasFailed(record)) {
--- a/packages/node/src/process/fleetHost.ts
+++ b/packages/node/src/process/fleetHost.ts
@@ -16,7 +16,7 @@
 import type {LoadHint} from '@lockpin/routing';
 import type {Result} from '@lockpin/types';
 import {failure, success} from '@lockpin/utils';
-import type {GuardNews} from '../request/guardService.js';
+import type {GuardNodeAction} from '../request/guardService.js';
 import {CustomerLimits} from './customerLimits.js';
 import type {DecisionLog} from './decisionLog.js';
 import {createCallBrains, createFleetBrain} from './fleetBrains.js';
@@ -251,7 +251,7 @@
    * Handles actions of the guard that concern the node; permits are not used
    * here.
    */
-  guardActed(action: GuardNews): void {
+  guardActed(action: GuardNodeAction): void {
     logGuardNews(this.log, action);
     if (action.kind === 'upstream-crashed') {
       this.handle({kind: 'runs-crashed', digests: action.digests});
--- a/packages/node/src/process/guardNewsLog.ts
+++ b/packages/node/src/process/guardNewsLog.ts
@@ -1,11 +1,11 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
 /** Logging of guard actions that concern the node. */
 
-import type {GuardNews} from '../request/guardService.js';
+import type {GuardNodeAction} from '../request/guardService.js';
 import type {DecisionLog} from './decisionLog.js';
 
 /** Logs a guard action of a kind that is logged; ignores all others. */
-export function logGuardNews(log: DecisionLog, action: GuardNews): void {
+export function logGuardNews(log: DecisionLog, action: GuardNodeAction): void {
   if (action.kind === 'upstream-crashed') {
     const {upstream, digests} = action;
     log.event(action.kind, {subject: upstream, requests: digests});
--- a/packages/node/src/process/nodeHost.ts
+++ b/packages/node/src/process/nodeHost.ts
@@ -19,7 +19,7 @@
 import {isUsable} from '@lockpin/membership';
 import type {Datagram, MemberIdentity} from '@lockpin/membership';
 import type {ChangeRecord, TimelineEvent} from '@lockpin/types';
-import type {GuardNews} from '../request/guardService.js';
+import type {GuardNodeAction} from '../request/guardService.js';
 import {BoxListPoller} from './boxListPoller.js';
 import type {NodeEnvironment, NodeHostListeners} from './nodeEnvironment.js';
 
@@ -129,7 +129,7 @@
   }
 
   /** Handles the guard's actions that do not belong to a single exchange. */
-  guardActed(action: GuardNews): void {
+  guardActed(action: GuardNodeAction): void {
     if (action.kind === 'standing') {
       return;
     }
--- a/packages/node/src/process/runFleetNode.ts
+++ b/packages/node/src/process/runFleetNode.ts
@@ -89,27 +89,27 @@
     onVersion: () => {
       applyLimits(container, callers);
       const news = versionNews(host);
-      remote.tell(news);
+      remote.broadcastNews(news);
       subscribers.tell(news);
     },
     onFollow: (peers) => remote.follow(peers),
     onFollowerNews: (news) => followers.tell(news),
     onLimitMessage: (box, message) =>
-      remote.tellNode(host.peerAddress(box), message),
-    onSilence: (box) => remote.wasSilent(host.peerAddress(box)),
+      remote.sendNews(host.peerAddress(box), message),
+    onSilence: (box) => remote.countUnansweredOffer(host.peerAddress(box)),
     onStanding: (upstream, hint) =>
       subscribers.tell({kind: 'standing', upstream, hint}),
     onEntryNews: (news) => subscribers.tell(news),
     onNodeNews: (addresses, news) =>
-      addresses.forEach((address) => remote.tellNode(address, news)),
+      addresses.forEach((address) => remote.sendNews(address, news)),
     onSuspended: () => {
-      entry.reviewDeadlines();
-      guard.reviewDeadlines();
+      entry.restartDeadlineTimers();
+      guard.restartDeadlineTimers();
     },
-    onQuarantined: (digest) => entry.requestQuarantined(digest),
+    onQuarantined: (digest) => entry.refuseQuarantined(digest),
   });
   const stopFollowing = every(REFOLLOW_INTERVAL_MILLISECONDS, () =>
-    remote.keepFollowing(),
+    remote.reopenFollowed(),
   );
   every(TRAFFIC_LOG_INTERVAL_MILLISECONDS, () => logTraffic(container));
   let result: Promise<StopResult> | undefined;
@@ -191,7 +191,7 @@
   const result = await finishCalls([guard, entry], steadyClock, limit);
   host.stop();
   if (result === 'limit-reached') {
-    entry.giveUpAll();
+    entry.endAllCalls();
     await delay(LAST_ANSWERS_MILLISECONDS);
   }
   // Immediately after the last call, so that no new call can arrive.
--- a/packages/node/src/request/callStory.ts
+++ b/packages/node/src/request/attemptHistory.ts
@@ -43,12 +43,12 @@
 const ATTEMPT_HISTORY_LIMIT = 12;
 
 /** Collects the attempts of one call. */
-export class CallStory {
+export class AttemptHistory {
   private readonly records: AttemptRecord[] = [];
   private current: Omit<AttemptRecord, 'end' | 'endedAt'> | undefined;
 
   /** Records that an offer was sent. */
-  offered(
+  recordOffer(
     now: number,
     attempt: Attempt,
     known: {readonly state: AnnouncedState; readonly age: number} | undefined,
@@ -63,7 +63,7 @@
   }
 
   /** Records the result of the current offer. */
-  ended(now: number, end: string): void {
+  recordEnd(now: number, end: string): void {
     if (this.current === undefined) {
       return;
     }
--- a/packages/node/src/request/attemptUrgency.ts
+++ b/packages/node/src/request/attemptPriority.ts
@@ -16,7 +16,7 @@
  * time on a failed upstream goes ahead of others of the same priority.
  * @param age Milliseconds since the call arrived.
  */
-export function urgencyOf(
+export function attemptPriority(
   {priority, route}: CallerRequest,
   age: number,
   attempt: Attempt,
@@ -63,6 +63,8 @@
 /**
  * Rounded because whole milliseconds take a quarter of the bytes on the wire.
  */
-export function rounded(milliseconds: number | undefined): number | undefined {
+export function roundMilliseconds(
+  milliseconds: number | undefined,
+): number | undefined {
   return milliseconds === undefined ? undefined : Math.round(milliseconds);
 }
--- a/packages/node/src/request/attemptCourse.ts
+++ b/packages/node/src/request/attemptRunner.ts
@@ -11,29 +11,33 @@
 import type {AnswerHead, RefusalFrame} from './frames.js';
 
 /** What the attempt runner needs from the entry service. */
-export interface AttemptCourseDependencies extends Pick<
+export interface AttemptRunnerDependencies extends Pick<
   EntryServiceDependencies,
   'clock' | 'brain' | 'isOwnBox' | 'needsGo' | 'onSilence' | 'begin'
 > {
   /** Passes an event to the decision logic and performs its actions. */
-  readonly tell: (event: EntryEvent) => void;
+  readonly handleEvent: (event: EntryEvent) => void;
   /** The answer was passed on completely, or was interrupted on the way. */
-  readonly onAnswerOver: (exchange: CallerExchange) => void;
+  readonly onAnswerEnded: (exchange: CallerExchange) => void;
 }
 
 /** Makes the attempts of calls and reports their results as events. */
-export class AttemptCourse {
-  constructor(private readonly dependencies: AttemptCourseDependencies) {}
+export class AttemptRunner {
+  constructor(private readonly dependencies: AttemptRunnerDependencies) {}
 
   /** Delays the next round of attempts. */
   pause(exchange: CallerExchange, milliseconds: number): void {
     exchange.attemptSerial += 1;
     exchange.exchange = undefined;
-    exchange.hasSlot = false;
+    exchange.hasReservedSlot = false;
     exchange.mayHaveBegun = false;
     exchange.clearAttemptTimers();
     exchange.silenceTimer = setTimeout(
-      () => this.dependencies.tell({kind: 'pause-ended', callId: exchange.id}),
+      () =>
+        this.dependencies.handleEvent({
+          kind: 'pause-ended',
+          callId: exchange.id,
+        }),
       milliseconds,
     );
   }
@@ -41,20 +45,20 @@
   /** Offers a call to the guard of a box. */
   attempt(exchange: CallerExchange, attempt: Attempt): void {
     exchange.attemptSerial += 1;
-    exchange.spareAnswer = exchange.heldAnswer ?? exchange.spareAnswer;
-    exchange.heldAnswer = undefined;
+    exchange.fallbackAnswer = exchange.pendingAnswer ?? exchange.fallbackAnswer;
+    exchange.pendingAnswer = undefined;
     const {clock, brain} = this.dependencies;
     const now = clock();
     const needsGo = this.needsGo(exchange, attempt);
     const head = exchange.head(now, attempt, needsGo);
     const known = brain.loads.lastHint(attempt.upstream ?? '', now);
-    exchange.story.offered(
+    exchange.attemptHistory.recordOffer(
       exchange.age(clock()),
       attempt,
       known && {state: known.hint.state, age: known.age},
     );
-    exchange.isGoGiven = !needsGo;
-    exchange.hasSlot = false;
+    exchange.isGoSent = !needsGo;
+    exchange.hasReservedSlot = false;
     // Only a guard in this process, or one that waits for the go signal,
     // reports reliably whether the call has started.
     const tellsStart = needsGo || this.dependencies.isOwnBox(attempt.box);
@@ -72,9 +76,9 @@
 
   /** The call may run: uses the slot that a guard has reserved for it. */
   admitted(exchange: CallerExchange): void {
-    exchange.isUndecided = false;
-    if (exchange.hasSlot) {
-      exchange.hasSlot = false;
+    exchange.isAdmissionPending = false;
+    if (exchange.hasReservedSlot) {
+      exchange.hasReservedSlot = false;
       this.slotReserved(exchange);
     }
   }
@@ -82,15 +86,15 @@
   /** Cancels the current attempt; its later callbacks are ignored. */
   cancel(exchange: CallerExchange): void {
     exchange.attemptSerial += 1;
-    exchange.hasSlot = false;
+    exchange.hasReservedSlot = false;
     exchange.clearAttemptTimers();
     exchange.exchange?.cancel();
     exchange.exchange = undefined;
   }
 
   /** Keeps the current attempt running alongside the next one. */
-  keepOverdue(exchange: CallerExchange): void {
-    this.noteEnd(exchange, 'overdue');
+  keepOverdueAttempt(exchange: CallerExchange): void {
+    this.recordAttemptEnd(exchange, 'overdue');
     exchange.overdue = {
       serial: exchange.attemptSerial,
       exchange: exchange.exchange,
@@ -99,26 +103,29 @@
   }
 
   /** Cancels the overdue attempt that runs alongside the current one. */
-  cancelOverdue(exchange: CallerExchange): void {
+  cancelOverdueAttempt(exchange: CallerExchange): void {
     exchange.overdue?.exchange?.cancel();
     exchange.overdue = undefined;
   }
 
   /** Makes the answer of the overdue attempt the one to pass on. */
   takeOverdueAnswer(exchange: CallerExchange): void {
-    exchange.heldAnswer = exchange.overdue?.answer;
+    exchange.pendingAnswer = exchange.overdue?.answer;
     exchange.overdue = undefined;
   }
 
   /** Records in the call's history how the current attempt ended. */
-  noteEnd(exchange: CallerExchange, end: string): void {
-    exchange.story.ended(exchange.age(this.dependencies.clock()), end);
+  recordAttemptEnd(exchange: CallerExchange, end: string): void {
+    exchange.attemptHistory.recordEnd(
+      exchange.age(this.dependencies.clock()),
+      end,
+    );
   }
 
   private needsGo(exchange: CallerExchange, {box}: Attempt): boolean {
     const {repetition} = exchange.call.route.spec;
     const isAsked =
-      exchange.isUndecided || this.dependencies.needsGo(box, repetition);
+      exchange.isAdmissionPending || this.dependencies.needsGo(box, repetition);
     return exchange.isReplayable && isAsked;
   }
 
@@ -136,9 +143,9 @@
     exchange.clearAttemptTimers();
     if (needsGo) {
       exchange.silenceTimer = setTimeout(() => {
-        this.noteEnd(exchange, 'guard-silent');
+        this.recordAttemptEnd(exchange, 'guard-silent');
         onSilence?.(box);
-        this.dependencies.tell({kind: 'attempt-unacknowledged', callId});
+        this.dependencies.handleEvent({kind: 'attempt-unacknowledged', callId});
       }, silenceMilliseconds);
     }
     exchange.overdueMilliseconds = overdueMilliseconds;
@@ -149,7 +156,7 @@
     const {id: callId, overdueMilliseconds} = exchange;
     if (overdueMilliseconds !== undefined) {
       exchange.overdueTimer = setTimeout(
-        () => this.dependencies.tell({kind: 'attempt-overdue', callId}),
+        () => this.dependencies.handleEvent({kind: 'attempt-overdue', callId}),
         overdueMilliseconds,
       );
     }
@@ -158,17 +165,17 @@
   /** The guard has reserved a slot for the call. */
   private slotReserved(exchange: CallerExchange): void {
     clearTimeout(exchange.silenceTimer);
-    if (exchange.isUndecided) {
-      exchange.hasSlot = true;
+    if (exchange.isAdmissionPending) {
+      exchange.hasReservedSlot = true;
       return;
     }
     exchange.mayHaveBegun = true;
     this.startOverdueTimer(exchange);
-    if (exchange.isGoGiven) {
+    if (exchange.isGoSent) {
       exchange.streamBody();
       return;
     }
-    exchange.isGoGiven = true;
+    exchange.isGoSent = true;
     exchange.go();
   }
 
@@ -212,7 +219,7 @@
 
   private answerEnded(exchange: CallerExchange): void {
     exchange.sendEnd();
-    this.dependencies.onAnswerOver(exchange);
+    this.dependencies.onAnswerEnded(exchange);
   }
 
   private refused(
@@ -221,8 +228,8 @@
   ): void {
     const callId = exchange.id;
     exchange.clearAttemptTimers();
-    this.noteEnd(exchange, refusal.reason);
-    this.dependencies.tell({
+    this.recordAttemptEnd(exchange, refusal.reason);
+    this.dependencies.handleEvent({
       kind: 'attempt-refused',
       callId,
       refusal,
@@ -233,12 +240,12 @@
 
   private answered(exchange: CallerExchange, head: AnswerHead): void {
     const callId = exchange.id;
-    exchange.heldAnswer = head;
+    exchange.pendingAnswer = head;
     const {status, hint, ranMilliseconds} = head;
     const isWhole = !head.hasMore;
     exchange.clearAttemptTimers();
-    this.noteEnd(exchange, String(status));
-    this.dependencies.tell({
+    this.recordAttemptEnd(exchange, String(status));
+    this.dependencies.handleEvent({
       kind: 'attempt-answered',
       callId,
       status,
@@ -263,7 +270,7 @@
     if (status >= FIRST_FAILED_STATUS) {
       exchange.overdue = undefined;
     }
-    this.dependencies.tell({
+    this.dependencies.handleEvent({
       kind: 'overdue-answered',
       callId,
       status,
@@ -274,7 +281,7 @@
 
   private overdueEnded(exchange: CallerExchange): void {
     exchange.overdue = undefined;
-    this.dependencies.tell({kind: 'overdue-ended', callId: exchange.id});
+    this.dependencies.handleEvent({kind: 'overdue-ended', callId: exchange.id});
   }
 
   private chunk(
@@ -294,13 +301,13 @@
 
   private lost(exchange: CallerExchange, wasSent: boolean): void {
     if (exchange.hasBegun) {
-      exchange.breakOff();
-      this.dependencies.onAnswerOver(exchange);
+      exchange.destroyResponse();
+      this.dependencies.onAnswerEnded(exchange);
       return;
     }
     exchange.clearAttemptTimers();
-    this.noteEnd(exchange, 'guard-lost');
-    this.dependencies.tell({
+    this.recordAttemptEnd(exchange, 'guard-lost');
+    this.dependencies.handleEvent({
       kind: 'attempt-lost',
       callId: exchange.id,
       wasSent,
--- a/packages/node/src/request/callAdmission.ts
+++ b/packages/node/src/request/callAdmission.ts
@@ -4,7 +4,7 @@
 import type {Admission} from '@lockpin/limits';
 import type {Refusal, RefusalReason} from '@lockpin/types';
 import type {CallerRequest} from './callerRequest.js';
-import {refuseEarly} from './earlyRefusals.js';
+import {refuseRequest} from './earlyRefusals.js';
 import type {RefusedRequest} from './earlyRefusals.js';
 import type {EntryServiceDependencies} from './entryServiceDependencies.js';
 
@@ -28,7 +28,7 @@
   ) {}
 
   /** Synchronous when a token is available locally or there is no limit. */
-  of({keyOwner}: CallerRequest): Admission | Promise<Admission> {
+  check({keyOwner}: CallerRequest): Admission | Promise<Admission> {
     return keyOwner === undefined
       ? ADMITTED
       : (this.dependencies.admit?.(keyOwner) ?? ADMITTED);
@@ -40,7 +40,7 @@
    */
   refuse(unread: RefusedRequest, call: CallerRequest, denial: Denial): void {
     const {reason, retryAfterMilliseconds} = refusalFor(denial);
-    refuseEarly(this.dependencies, unread, reason, retryAfterMilliseconds);
+    refuseRequest(this.dependencies, unread, reason, retryAfterMilliseconds);
     this.dependencies.onUnrouted?.({
       requestId: unread.requestId,
       reason,
@@ -59,7 +59,7 @@
   }
 
   /** Returns the token of a call that ended before it was admitted. */
-  async giveBack(
+  async returnToken(
     call: CallerRequest,
     pending: Admission | Promise<Admission>,
   ): Promise<void> {
--- a/packages/node/src/request/callReception.ts
+++ b/packages/node/src/request/callReceiver.ts
@@ -9,7 +9,7 @@
 import {readBodyFor} from './callerBody.js';
 import type {ArrivedRequest} from './callerExchange.js';
 import type {CallerRequest, UnroutedRequest} from './callerRequest.js';
-import {reasonNotToServe, refuseEarly} from './earlyRefusals.js';
+import {unavailabilityReason, refuseRequest} from './earlyRefusals.js';
 import type {EntryServiceDependencies} from './entryServiceDependencies.js';
 
 /** A request accepted as a call. */
@@ -22,7 +22,7 @@
 type UnreadRequest = Pick<ArrivedRequest, 'request' | 'response' | 'requestId'>;
 
 /** Reads requests and refuses those that cannot become calls. */
-export class CallReception {
+export class CallReceiver {
   constructor(
     private readonly dependencies: EntryServiceDependencies,
     private readonly admission: CallAdmission,
@@ -41,14 +41,14 @@
     if (call === undefined) {
       return undefined;
     }
-    const admission = this.admission.of(call);
+    const admission = this.admission.check(call);
     if (!(admission instanceof Promise) && admission.kind !== 'admitted') {
       this.admission.refuse(unread, call, admission);
       return undefined;
     }
     const body = await this.readBody(unread, call);
     if (body === undefined) {
-      void this.admission.giveBack(call, admission);
+      void this.admission.returnToken(call, admission);
       return undefined;
     }
     return this.admit({...unread, call, body, arrivedAt}, admission);
@@ -57,9 +57,9 @@
   private async readCall(
     unread: UnreadRequest,
   ): Promise<CallerRequest | undefined> {
-    const reason = reasonNotToServe(this.dependencies);
+    const reason = unavailabilityReason(this.dependencies);
     if (reason !== undefined) {
-      refuseEarly(this.dependencies, unread, reason);
+      refuseRequest(this.dependencies, unread, reason);
       return undefined;
     }
     const read = await this.readConfirmed(unread.request);
@@ -92,7 +92,7 @@
     {reason, detail}: UnroutedRequest,
   ): void {
     const {requestId} = unread;
-    refuseEarly(this.dependencies, unread, reason);
+    refuseRequest(this.dependencies, unread, reason);
     if (detail !== undefined) {
       this.dependencies.onUnrouted?.({requestId, reason, ...detail});
     }
@@ -106,7 +106,7 @@
     const body = await readBodyFor(request, call, largestBodyBytes());
     if (body.kind === 'too-large') {
       const partlyRead = {response, requestId};
-      refuseEarly(this.dependencies, partlyRead, 'body-too-large');
+      refuseRequest(this.dependencies, partlyRead, 'body-too-large');
       return undefined;
     }
     return body.kind === 'cut' || response.destroyed ? undefined : body;
--- a/packages/node/src/request/callRecord.ts
+++ b/packages/node/src/request/callRecord.ts
@@ -1,12 +1,18 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
 /** Builds the log record of a finished call. */
 
-import type {CallRecord} from './callStory.js';
+import type {CallRecord} from './attemptHistory.js';
 import type {CallerExchange} from './callerExchange.js';
 
 /** Builds the log record of a call from its exchange and outcome. */
-export function recordOf(
-  {requestId, requestDigest, call, story, status}: CallerExchange,
+export function createCallRecord(
+  {
+    requestId,
+    requestDigest,
+    call,
+    attemptHistory: story,
+    status,
+  }: CallerExchange,
   outcome: CallRecord['outcome'],
   reason: string,
   milliseconds: number,
--- a/packages/node/src/request/callerBody.ts
+++ b/packages/node/src/request/callerBody.ts
@@ -2,7 +2,7 @@
 /** Reads as much of a caller's body as is needed before the call is offered. */
 
 import type {IncomingMessage} from 'node:http';
-import {HELD_BODY_BYTES, ONCE_BODY_BYTES} from './bodyLimits.js';
+import {BODY_BUFFER_LIMIT_BYTES, ONCE_BODY_LIMIT_BYTES} from './bodyLimits.js';
 import type {CallerRequest} from './callerRequest.js';
 import {peekBody} from './peekBody.js';
 import {readBody} from './readBody.js';
@@ -38,16 +38,16 @@
     return {kind: 'too-large'};
   }
   if (call.onceKey !== undefined) {
-    return held(await readBody(request, ONCE_BODY_BYTES));
+    return held(await readBody(request, ONCE_BODY_LIMIT_BYTES));
   }
   if ('transfer-encoding' in request.headers) {
-    return peeked(request, HELD_BODY_BYTES + 1);
+    return peeked(request, BODY_BUFFER_LIMIT_BYTES + 1);
   }
   if (Number.isNaN(length)) {
     return {kind: 'held', bytes: EMPTY};
   }
-  return length <= HELD_BODY_BYTES
-    ? held(await readBody(request, HELD_BODY_BYTES))
+  return length <= BODY_BUFFER_LIMIT_BYTES
+    ? held(await readBody(request, BODY_BUFFER_LIMIT_BYTES))
     : peeked(request, BEGINNING_BYTES);
 }
 
--- a/packages/node/src/request/callerExchange.ts
+++ b/packages/node/src/request/callerExchange.ts
@@ -4,13 +4,18 @@
 import type {IncomingMessage, ServerResponse} from 'node:http';
 import type {Attempt} from '@lockpin/brain';
 import type {Refusal} from '@lockpin/types';
-import {rounded, startWithin, urgencyOf, usefulFor} from './attemptUrgency.js';
+import {
+  roundMilliseconds,
+  startWithin,
+  attemptPriority,
+  usefulFor,
+} from './attemptPriority.js';
 import type {CallerBody} from './callerBody.js';
 import type {CallerRequest} from './callerRequest.js';
 import type {Exchange} from './exchange.js';
 import type {AnswerHead, CallHead, FlatHeaders} from './frames.js';
 import type {CallerProtocol} from './callerProtocol.js';
-import {CallStory} from './callStory.js';
+import {AttemptHistory} from './attemptHistory.js';
 
 /** Answers up to this size are written together with their headers. */
 const SINGLE_WRITE_LIMIT_BYTES = 8 * 1024;
@@ -43,12 +48,12 @@
       }
     | undefined;
   /** An answer that was received and may still be discarded for a retry. */
-  heldAnswer: AnswerHead | undefined;
+  pendingAnswer: AnswerHead | undefined;
   /**
    * A complete answer of an earlier attempt, used when no later one succeeds.
    */
-  spareAnswer: AnswerHead | undefined;
-  timer: NodeJS.Timeout | undefined;
+  fallbackAnswer: AnswerHead | undefined;
+  deadlineTimer: NodeJS.Timeout | undefined;
   /** Runs until the guard reserves a slot, queues the call or refuses it. */
   silenceTimer: NodeJS.Timeout | undefined;
   overdueTimer: NodeJS.Timeout | undefined;
@@ -57,20 +62,20 @@
   /**
    * The current attempt may run: it needs no go signal, or has been sent it.
    */
-  isGoGiven = true;
+  isGoSent = true;
   /** The admission check against the customer's limit is still pending. */
-  isUndecided = false;
+  isAdmissionPending = false;
   /**
    * A guard holds a slot for the current attempt until admission is decided.
    */
-  hasSlot = false;
+  hasReservedSlot = false;
   /** The current attempt may have reached its upstream. */
   mayHaveBegun = false;
   private readonly request: IncomingMessage;
   private readonly response: ServerResponse;
   private readonly body: Buffer | undefined;
   private lastHead: CallHead | undefined;
-  readonly story = new CallStory();
+  readonly attemptHistory = new AttemptHistory();
   private isStreaming = false;
   private isEnded = false;
   private awaitsDrain = false;
@@ -129,7 +134,7 @@
       weight,
       route: shortName(route.name),
       repetition: route.spec.repetition,
-      priority: urgencyOf(this.call, this.age(now), attempt),
+      priority: attemptPriority(this.call, this.age(now), attempt),
       remaining: Math.max(0, Math.floor(attempt.call.deadline - now)),
       attempt: attempt.number,
       retryShare: route.spec.retryShare,
@@ -145,7 +150,7 @@
       terms: attempt.terms,
       usefulFor: usefulFor(this.call, this.age(now), attempt),
       startWithin: startWithin(now, attempt),
-      expectedMilliseconds: rounded(attempt.expectedMilliseconds),
+      expectedMilliseconds: roundMilliseconds(attempt.expectedMilliseconds),
     };
     return this.lastHead;
   }
@@ -231,7 +236,7 @@
   /**
    * Destroys the response, so that the caller sees the answer as incomplete.
    */
-  breakOff(): void {
+  destroyResponse(): void {
     this.isEnded = true;
     this.response.destroy();
   }
--- a/packages/node/src/request/earlyRefusals.ts
+++ b/packages/node/src/request/earlyRefusals.ts
@@ -3,7 +3,7 @@
 
 import type {IncomingMessage, ServerResponse} from 'node:http';
 import type {Refusal, RefusalReason} from '@lockpin/types';
-import {HELD_BODY_BYTES} from './bodyLimits.js';
+import {BODY_BUFFER_LIMIT_BYTES} from './bodyLimits.js';
 import type {EntryServiceDependencies} from './entryServiceDependencies.js';
 
 /** Retry delay given while the node is not ready, in milliseconds. */
@@ -27,7 +27,7 @@
 }
 
 /** Why this node accepts no requests now; undefined when it does. */
-export function reasonNotToServe({
+export function unavailabilityReason({
   isLeaving,
   isReady,
 }: Pick<EntryServiceDependencies, 'isLeaving' | 'isReady'>):
@@ -39,7 +39,7 @@
 }
 
 /** Refuses a request; keeps the connection if the unread body is short. */
-export function refuseEarly(
+export function refuseRequest(
   dependencies: Pick<
     EntryServiceDependencies,
     'protocol' | 'metrics' | 'logger'
@@ -66,5 +66,5 @@
 /** Whether the unread body is short enough to be read and discarded. */
 function hasShortBody({headers}: IncomingMessage): boolean {
   const length = Number(headers['content-length'] ?? 0);
-  return !('transfer-encoding' in headers) && length <= HELD_BODY_BYTES;
+  return !('transfer-encoding' in headers) && length <= BODY_BUFFER_LIMIT_BYTES;
 }
--- a/packages/node/src/request/entryCall.ts
+++ b/packages/node/src/request/entryCall.ts
@@ -16,7 +16,7 @@
  * its length and its beginning; the digest is empty when the beginning did not
  * arrive in time.
  */
-export function digestOf(
+export function computeRequestDigest(
   {method = 'GET', headers}: IncomingMessage,
   {onceKey, path, view, caller}: CallerRequest,
   body: ArrivedRequest['body'],
--- a/packages/node/src/request/entryService.ts
+++ b/packages/node/src/request/entryService.ts
@@ -6,17 +6,17 @@
 import type {ServiceView} from '@lockpin/configuration';
 import type {Admission} from '@lockpin/limits';
 import type {Refusal} from '@lockpin/types';
-import {AttemptCourse} from './attemptCourse.js';
+import {AttemptRunner} from './attemptRunner.js';
 import {CallAdmission, refusalFor} from './callAdmission.js';
-import {HELD_BODY_BYTES} from './bodyLimits.js';
+import {BODY_BUFFER_LIMIT_BYTES} from './bodyLimits.js';
 import {CallerExchange} from './callerExchange.js';
-import {recordOf} from './callRecord.js';
-import type {CallRecord} from './callStory.js';
-import {CallReception} from './callReception.js';
-import type {ReceivedCall} from './callReception.js';
-import {digestOf, entryCall} from './entryCall.js';
+import {createCallRecord} from './callRecord.js';
+import type {CallRecord} from './attemptHistory.js';
+import {CallReceiver} from './callReceiver.js';
+import type {ReceivedCall} from './callReceiver.js';
+import {computeRequestDigest, entryCall} from './entryCall.js';
 import type {EntryServiceDependencies} from './entryServiceDependencies.js';
-import {freshKeyHeader, mintKeyFor} from './freshOnceKeys.js';
+import {freshKeyHeader, mintOnceKeyFor} from './freshOnceKeys.js';
 
 export type {EntryServiceDependencies} from './entryServiceDependencies.js';
 
@@ -25,18 +25,18 @@
 /** Serves callers' calls, each until its answer or refusal. */
 export class EntryService {
   private readonly exchanges = new Map<string, CallerExchange>();
-  private readonly attempts: AttemptCourse;
+  private readonly attempts: AttemptRunner;
   private readonly admission: CallAdmission;
-  private readonly receiver: CallReception;
+  private readonly receiver: CallReceiver;
   private serial = 0;
 
   constructor(private readonly dependencies: EntryServiceDependencies) {
     this.admission = new CallAdmission(dependencies);
-    this.receiver = new CallReception(dependencies, this.admission);
-    this.attempts = new AttemptCourse({
+    this.receiver = new CallReceiver(dependencies, this.admission);
+    this.attempts = new AttemptRunner({
       ...dependencies,
-      tell: (event) => this.handle(event),
-      onAnswerOver: (exchange) => this.ended(exchange),
+      handleEvent: (event) => this.handle(event),
+      onAnswerEnded: (exchange) => this.ended(exchange),
     });
   }
 
@@ -77,7 +77,7 @@
   ): Promise<void> {
     const admission = await pending;
     if (!this.exchanges.has(exchange.id)) {
-      void this.admission.giveBack(exchange.call, admission);
+      void this.admission.returnToken(exchange.call, admission);
     } else if (admission.kind === 'admitted') {
       this.attempts.admitted(exchange);
     } else {
@@ -88,26 +88,27 @@
 
   /** Mints a key bound to the home of an upstream that accepts calls now. */
   mintKey(view: ServiceView): string | undefined {
-    return mintKeyFor(this.dependencies, view);
+    return mintOnceKeyFor(this.dependencies, view);
   }
 
   private startCall({arrived, pending}: ReceivedCall): void {
     const {protocol, mayBeRepeat} = this.dependencies;
     const {request, response, call, body, arrivedAt} = arrived;
-    const digest = digestOf(request, call, body);
+    const digest = computeRequestDigest(request, call, body);
     this.serial += 1;
     const id = String(this.serial);
     const exchange = new CallerExchange(id, arrived, digest, protocol);
     this.exchanges.set(id, exchange);
     if (pending !== undefined) {
-      exchange.isUndecided = true;
+      exchange.isAdmissionPending = true;
       void this.applyAdmission(exchange, pending);
     }
     response.on('close', () => this.handleClose(exchange));
     this.watchConnection(request, response, exchange);
     const deadline = arrivedAt + call.waitMilliseconds;
     this.startDeadlineTimer(exchange);
-    const bytes = body.kind === 'held' ? body.bytes.length : HELD_BODY_BYTES;
+    const bytes =
+      body.kind === 'held' ? body.bytes.length : BODY_BUFFER_LIMIT_BYTES;
     this.handle({
       kind: 'call-arrived',
       call: entryCall(exchange, bytes, deadline, mayBeRepeat()),
@@ -135,9 +136,9 @@
    * Restarts all deadline timers after a suspension of the machine, during
    * which the clock advances and timers do not; overdue calls end at once.
    */
-  reviewDeadlines(): void {
+  restartDeadlineTimers(): void {
     this.exchanges.forEach((exchange) => {
-      clearTimeout(exchange.timer);
+      clearTimeout(exchange.deadlineTimer);
       this.startDeadlineTimer(exchange);
     });
   }
@@ -145,7 +146,7 @@
   private startDeadlineTimer(exchange: CallerExchange): void {
     const {arrivedAt, call} = exchange;
     const deadline = arrivedAt + call.waitMilliseconds;
-    exchange.timer = setTimeout(
+    exchange.deadlineTimer = setTimeout(
       () => this.giveUp(exchange, 'deadline-passed'),
       Math.max(0, deadline - this.dependencies.clock()),
     );
@@ -156,14 +157,14 @@
    * outcome known here; a closed connection would leave the outcome unclear to
    * the caller.
    */
-  giveUpAll(): void {
+  endAllCalls(): void {
     [...this.exchanges.values()].forEach((exchange) =>
       this.giveUp(exchange, 'node-leaving'),
     );
   }
 
   /** Refuses calls with a quarantined request that have not started to run. */
-  requestQuarantined(digest: string): void {
+  refuseQuarantined(digest: string): void {
     [...this.exchanges.values()]
       .filter(
         ({requestDigest, mayHaveBegun}) =>
@@ -177,7 +178,7 @@
     reason: GivenUpEvent['reason'],
   ): void {
     const wasSent = exchange.mayHaveBegun;
-    this.attempts.noteEnd(exchange, reason);
+    this.attempts.recordAttemptEnd(exchange, reason);
     this.handle({kind: 'call-aborted', callId: exchange.id, reason, wasSent});
   }
 
@@ -207,17 +208,17 @@
         break;
       case 'pass-fallback-answer':
         this.attempts.cancel(exchange);
-        exchange.heldAnswer = exchange.spareAnswer;
+        exchange.pendingAnswer = exchange.fallbackAnswer;
         this.passAnswer(exchange);
         break;
       case 'pause':
         this.attempts.pause(exchange, action.milliseconds);
         break;
       case 'keep-overdue':
-        this.attempts.keepOverdue(exchange);
+        this.attempts.keepOverdueAttempt(exchange);
         break;
       case 'cancel-overdue':
-        this.attempts.cancelOverdue(exchange);
+        this.attempts.cancelOverdueAttempt(exchange);
         break;
       case 'pass-overdue-answer':
         this.attempts.takeOverdueAnswer(exchange);
@@ -230,14 +231,14 @@
   }
 
   private passAnswer(exchange: CallerExchange): void {
-    const head = exchange.heldAnswer;
+    const head = exchange.pendingAnswer;
     if (head === undefined) {
       return;
     }
     const {metrics, clock} = this.dependencies;
     metrics.increment('calls.answered');
     metrics.timing('calls.milliseconds', exchange.age(clock()));
-    exchange.heldAnswer = undefined;
+    exchange.pendingAnswer = undefined;
     exchange.sendHead(head);
     this.recordEnd(exchange, 'answered', '');
     if (!head.hasMore) {
@@ -252,13 +253,13 @@
   ): void {
     const milliseconds = exchange.age(this.dependencies.clock());
     this.dependencies.onEnded?.(
-      recordOf(exchange, outcome, reason, milliseconds),
+      createCallRecord(exchange, outcome, reason, milliseconds),
     );
   }
 
   private refuse(exchange: CallerExchange, refusal: Refusal): void {
     if (exchange.hasBegun) {
-      exchange.breakOff();
+      exchange.destroyResponse();
       this.ended(exchange);
       return;
     }
@@ -272,7 +273,7 @@
     const {reason, outcome} = refusal;
     const {requestId, call} = exchange;
     this.recordEnd(exchange, outcome, reason);
-    if (outcome === 'not-run' && !exchange.isUndecided) {
+    if (outcome === 'not-run' && !exchange.isAdmissionPending) {
       this.admission.notRun(call);
     }
     this.dependencies.metrics.increment('calls.refused', {reason});
@@ -299,7 +300,7 @@
   }
 
   private remove(exchange: CallerExchange): void {
-    clearTimeout(exchange.timer);
+    clearTimeout(exchange.deadlineTimer);
     exchange.clearAttemptTimers();
     this.exchanges.delete(exchange.id);
   }
--- a/packages/node/src/request/entryServiceDependencies.ts
+++ b/packages/node/src/request/entryServiceDependencies.ts
@@ -7,10 +7,10 @@
 import type {Clock, RandomSource, Repetition} from '@lockpin/types';
 import type {NodeMetrics} from '../process/metrics.js';
 import type {CallerProtocol} from './callerProtocol.js';
-import type {CallRecord} from './callStory.js';
+import type {CallRecord} from './attemptHistory.js';
 import type {Exchange, ExchangeHandlers} from './exchange.js';
 import type {CallHead} from './frames.js';
-import type {RefusedRecord} from './refusedRecord.js';
+import type {RefusedRequestRecord} from './refusedRecord.js';
 
 /** What the entry service needs from its process. */
 export interface EntryServiceDependencies {
@@ -33,7 +33,7 @@
   /** Called when an admitted call did not run and will not. */
   readonly onNotRun?: (customer: string) => void;
   /** Called for requests refused because of their caller. */
-  readonly onUnrouted?: (record: RefusedRecord) => void;
+  readonly onUnrouted?: (record: RefusedRequestRecord) => void;
   /** Whether calls that begin here may be repeats, made by an upstream. */
   readonly mayBeRepeat: () => boolean;
   /** The incarnation of the current process on a box, for minting once keys. */
--- a/packages/node/src/request/exchangeStream.ts
+++ b/packages/node/src/request/exchangeStream.ts
@@ -3,10 +3,10 @@
 
 import type grpc from '@grpc/grpc-js';
 import type {Exchange, ExchangeHandlers} from './exchange.js';
-import {FrameBatch, readBatch} from './frameBatch.js';
+import {FrameBatch, decodeBatch} from './frameBatch.js';
 import type {NumberedFrame, OnFrameBytes} from './frameBatch.js';
 import type {CallHead, PeerNews} from './frames.js';
-import {neverSent} from './remoteExchange.js';
+import {wasNeverSent} from './remoteExchange.js';
 
 /** Time without exchanges after which a stream is closed. */
 const IDLE_MILLISECONDS = 60_000;
@@ -46,11 +46,11 @@
     }, onFrameBytes);
     stream.on('data', (bytes: Buffer) => {
       this.unansweredOffers = 0;
-      readBatch(bytes, onFrameBytes).forEach((frame) => this.receive(frame));
+      decodeBatch(bytes, onFrameBytes).forEach((frame) => this.receive(frame));
     });
     stream.on('end', () => this.handleBreak(true));
     stream.on('error', (error: grpc.ServiceError) =>
-      this.handleBreak(!neverSent(error)),
+      this.handleBreak(!wasNeverSent(error)),
     );
   }
 
@@ -81,18 +81,18 @@
   }
 
   /** Sets whether the stream stays open without exchanges. */
-  keep(isKept: boolean): void {
+  setKeptOpen(isKept: boolean): void {
     this.isKept = isKept;
     this.scheduleIdleEnd();
   }
 
   /** Sends news, which belongs to no call, to the guard's node. */
-  tell(news: PeerNews): void {
+  sendNews(news: PeerNews): void {
     this.batch.add(NO_EXCHANGE, {kind: 'news', news});
   }
 
   /** Counts an unanswered offer; true when the connection is to be replaced. */
-  wasSilent(): boolean {
+  countUnansweredOffer(): boolean {
     this.unansweredOffers += 1;
     return this.unansweredOffers >= RECONNECT_UNANSWERED_OFFERS;
   }
--- a/packages/node/src/request/exchangeStreamServer.ts
+++ b/packages/node/src/request/exchangeStreamServer.ts
@@ -3,7 +3,7 @@
 
 import type grpc from '@grpc/grpc-js';
 import type {BeginExchange, Exchange, ExchangeHandlers} from './exchange.js';
-import {FrameBatch, readBatch} from './frameBatch.js';
+import {FrameBatch, decodeBatch} from './frameBatch.js';
 import type {NumberedFrame} from './frameBatch.js';
 import {NO_EXCHANGE} from './exchangeStream.js';
 import type {PeerNews} from './frames.js';
@@ -19,7 +19,7 @@
 }
 
 /** Handles the news that the ends of a stream send besides calls. */
-export interface NewsExchange {
+export interface NewsHandlers {
   /** The news sent when the stream opens. */
   readonly first: () => PeerNews;
   /** Handles received news; `answer` replies on the same stream. */
@@ -38,16 +38,16 @@
 export function serveExchangeStream(
   stream: grpc.ServerDuplexStream<Buffer, Buffer>,
   begin: BeginExchange,
-  newsHandlers?: NewsExchange,
+  newsHandlers?: NewsHandlers,
 ): void {
   const server = new ExchangeStreamServer(stream, begin, newsHandlers);
   const onClose = (): void => {
     unsubscribe?.();
     server.handleBreak();
   };
-  const unsubscribe = newsHandlers?.subscribe((news) => server.tell(news));
+  const unsubscribe = newsHandlers?.subscribe((news) => server.sendNews(news));
   if (newsHandlers !== undefined) {
-    server.tell(newsHandlers.first());
+    server.sendNews(newsHandlers.first());
   }
   stream.on('data', (bytes: Buffer) => server.receiveBatch(bytes));
   stream.on('cancelled', onClose);
@@ -66,16 +66,16 @@
   constructor(
     stream: grpc.ServerDuplexStream<Buffer, Buffer>,
     private readonly begin: BeginExchange,
-    private readonly newsHandlers: NewsExchange | undefined,
+    private readonly newsHandlers: NewsHandlers | undefined,
   ) {
     this.batch = new FrameBatch((bytes) => stream.write(bytes));
   }
 
   receiveBatch(bytes: Buffer): void {
-    readBatch(bytes).forEach((frame) => this.receive(frame));
+    decodeBatch(bytes).forEach((frame) => this.receive(frame));
   }
 
-  tell(news: PeerNews): void {
+  sendNews(news: PeerNews): void {
     this.batch.add(NO_EXCHANGE, {kind: 'news', news});
   }
 
@@ -122,7 +122,7 @@
     if (news.kind === 'follow') {
       this.setFollowing(news.isWanted);
     } else {
-      this.newsHandlers?.onNews(news, (answer) => this.tell(answer));
+      this.newsHandlers?.onNews(news, (answer) => this.sendNews(answer));
     }
   }
 
@@ -130,7 +130,7 @@
   private setFollowing(isWanted: boolean): void {
     this.stopFollowing?.();
     this.stopFollowing = isWanted
-      ? this.newsHandlers?.follow((news) => this.tell(news))
+      ? this.newsHandlers?.follow((news) => this.sendNews(news))
       : undefined;
   }
 
--- a/packages/node/src/request/followedStreams.ts
+++ b/packages/node/src/request/followedStreams.ts
@@ -50,13 +50,13 @@
       return existing;
     }
     const stream = this.openKept(address);
-    stream.tell({kind: 'follow', isWanted: true});
+    stream.sendNews({kind: 'follow', isWanted: true});
     return stream;
   }
 
   private openKept(address: string): ExchangeStream {
     const stream = this.openStream(address);
-    stream.keep(true);
+    stream.setKeptOpen(true);
     return stream;
   }
 
@@ -64,7 +64,7 @@
     if (this.far?.address === address) {
       return;
     }
-    this.far?.stream.keep(false);
+    this.far?.stream.setKeptOpen(false);
     this.far =
       address === undefined
         ? undefined
@@ -76,11 +76,11 @@
     stream: ExchangeStream,
     isSilent: boolean,
   ): void {
-    stream.keep(false);
+    stream.setKeptOpen(false);
     if (isSilent) {
       this.dropConnection(address);
     } else if (stream.isUsable) {
-      stream.tell({kind: 'follow', isWanted: false});
+      stream.sendNews({kind: 'follow', isWanted: false});
     }
   }
 }
--- a/packages/node/src/request/frameBatch.ts
+++ b/packages/node/src/request/frameBatch.ts
@@ -1,7 +1,7 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
 /** Batches the frames of many exchanges, once per event-loop turn. */
 
-import {readFrame, writeFrame} from './frames.js';
+import {decodeFrame, encodeFrame} from './frames.js';
 import type {Frame} from './frames.js';
 
 /** Called with the size of each frame that is sent or received. */
@@ -25,7 +25,7 @@
   ) {}
 
   add(number: number, frame: Frame): void {
-    const bytes = writeFrame(frame);
+    const bytes = encodeFrame(frame);
     const prefix = Buffer.allocUnsafe(PREFIX_BYTES);
     prefix.writeUInt32BE(bytes.length, 0);
     prefix.writeUInt32BE(number, 4);
@@ -44,7 +44,7 @@
 }
 
 /** Splits a message into its frames. */
-export function readBatch(
+export function decodeBatch(
   bytes: Buffer,
   onFrameBytes: OnFrameBytes = () => undefined,
 ): readonly NumberedFrame[] {
@@ -55,7 +55,7 @@
     const number = bytes.readUInt32BE(offset + 4);
     const start = offset + PREFIX_BYTES;
     offset = start + length;
-    const frame = readFrame(bytes.subarray(start, offset));
+    const frame = decodeFrame(bytes.subarray(start, offset));
     onFrameBytes(frame.kind, PREFIX_BYTES + length);
     frames.push({number, frame});
   }
--- a/packages/node/src/request/frameRows.ts
+++ b/packages/node/src/request/frameEncoding.ts
@@ -7,14 +7,14 @@
   CallRequest,
   RefusalFrame,
 } from './frameTypes.js';
-import {fromRow, toRow} from './rows.js';
+import {decodeRow, encodeRow} from './rowEncoding.js';
 import {
   OUTCOME_CODES,
   REASON_CODES,
   REPETITION_CODES,
   TERMS_CODES,
-  hintOf,
-  hintRow,
+  decodeLoadHint,
+  encodeLoadHint,
 } from './wireCodes.js';
 import type {HintRow} from './wireCodes.js';
 
@@ -91,7 +91,7 @@
 ];
 
 /** Encodes a refusal as a row. */
-export function refusalRow({
+export function encodeRefusal({
   refusal,
   upstream,
   hint,
@@ -102,64 +102,64 @@
     OUTCOME_CODES.codeOf(outcome),
     Math.ceil(retryAfterMilliseconds),
     upstream,
-    hint === undefined ? null : hintRow(hint),
+    hint === undefined ? null : encodeLoadHint(hint),
   ];
 }
 
 /** Decodes a refusal from its row. */
-export function refusalFrom(row: RefusalRow): RefusalFrame {
+export function decodeRefusal(row: RefusalRow): RefusalFrame {
   const [reason, outcome, retryAfterMilliseconds, upstream, hint] = row;
   return {
     refusal: {
-      reason: REASON_CODES.wordOf(reason),
-      outcome: OUTCOME_CODES.wordOf(outcome),
+      reason: REASON_CODES.nameOf(reason),
+      outcome: OUTCOME_CODES.nameOf(outcome),
       retryAfterMilliseconds,
     },
     upstream,
-    hint: hint === null ? undefined : hintOf(hint),
+    hint: hint === null ? undefined : decodeLoadHint(hint),
   };
 }
 
 /** Encodes a call's head as a row. */
-export function headRow(head: CallHead): readonly unknown[] {
+export function encodeCallHead(head: CallHead): readonly unknown[] {
   const coded: CodedHead = {
     ...head,
     repetition: REPETITION_CODES.codeOf(head.repetition),
     terms: TERMS_CODES.codeOf(head.terms),
   };
-  return toRow(CALL_FIELDS, coded);
+  return encodeRow(CALL_FIELDS, coded);
 }
 
 /** Decodes a call's head from its row. */
-export function headFrom(row: readonly unknown[]): CallHead {
-  const coded = fromRow<CodedHead>(CALL_FIELDS, row);
+export function decodeCallHead(row: readonly unknown[]): CallHead {
+  const coded = decodeRow<CodedHead>(CALL_FIELDS, row);
   return {
     ...coded,
-    repetition: REPETITION_CODES.wordOf(coded.repetition),
-    terms: TERMS_CODES.wordOf(coded.terms),
+    repetition: REPETITION_CODES.nameOf(coded.repetition),
+    terms: TERMS_CODES.nameOf(coded.terms),
   };
 }
 
 /** Encodes an answer's head as a row. */
-export function answerRow(head: AnswerHead): readonly unknown[] {
-  const hint = head.hint && hintRow(head.hint);
-  return toRow<CodedAnswer>(ANSWER_FIELDS, {...head, hint});
+export function encodeAnswerHead(head: AnswerHead): readonly unknown[] {
+  const hint = head.hint && encodeLoadHint(head.hint);
+  return encodeRow<CodedAnswer>(ANSWER_FIELDS, {...head, hint});
 }
 
 /** Decodes an answer's head from its row. */
-export function answerFrom(row: readonly unknown[]): AnswerHead {
-  const coded = fromRow<CodedAnswer>(ANSWER_FIELDS, row);
-  return {...coded, hint: coded.hint && hintOf(coded.hint)};
+export function decodeAnswerHead(row: readonly unknown[]): AnswerHead {
+  const coded = decodeRow<CodedAnswer>(ANSWER_FIELDS, row);
+  return {...coded, hint: coded.hint && decodeLoadHint(coded.hint)};
 }
 
 /** Encodes a request as a row. */
-export function requestRow(request: CallRequest): readonly unknown[] {
-  return toRow(REQUEST_FIELDS, request);
+export function encodeCallRequest(request: CallRequest): readonly unknown[] {
+  return encodeRow(REQUEST_FIELDS, request);
 }
 
 /** Decodes a request from its row. */
-export function requestFrom(row: readonly unknown[]): CallRequest {
-  const request = fromRow<CallRequest>(REQUEST_FIELDS, row);
+export function decodeCallRequest(row: readonly unknown[]): CallRequest {
+  const request = decodeRow<CallRequest>(REQUEST_FIELDS, row);
   // Nodes of earlier releases do not send a digest.
   return {...request, requestDigest: request.requestDigest ?? ''};
 }
--- a/packages/node/src/request/frames.ts
+++ b/packages/node/src/request/frames.ts
@@ -3,17 +3,17 @@
 
 import {decode, encode} from '../connection/codec.js';
 import {
-  answerFrom,
-  answerRow,
-  headFrom,
-  headRow,
-  refusalFrom,
-  refusalRow,
-  requestFrom,
-  requestRow,
-} from './frameRows.js';
+  decodeAnswerHead,
+  encodeAnswerHead,
+  decodeCallHead,
+  encodeCallHead,
+  decodeRefusal,
+  encodeRefusal,
+  decodeCallRequest,
+  encodeCallRequest,
+} from './frameEncoding.js';
 import type {Frame} from './frameTypes.js';
-import {newsFrom, newsRow} from './newsRows.js';
+import {decodeNews, encodeNews} from './newsEncoding.js';
 
 export type * from './frameTypes.js';
 
@@ -37,17 +37,17 @@
 const CREDIT_BYTES = 4;
 
 /** Encodes a frame. */
-export function writeFrame(frame: Frame): Buffer {
+export function encodeFrame(frame: Frame): Buffer {
   const kind = Buffer.from([KINDS.indexOf(frame.kind)]);
   switch (frame.kind) {
     case 'call':
-      return Buffer.concat([kind, encode(headRow(frame.head))]);
+      return Buffer.concat([kind, encode(encodeCallHead(frame.head))]);
     case 'answer':
-      return Buffer.concat([kind, encode(answerRow(frame.head))]);
+      return Buffer.concat([kind, encode(encodeAnswerHead(frame.head))]);
     case 'go':
-      return Buffer.concat([kind, encode(requestRow(frame.request))]);
+      return Buffer.concat([kind, encode(encodeCallRequest(frame.request))]);
     case 'refusal':
-      return Buffer.concat([kind, encode(refusalRow(frame.refusal))]);
+      return Buffer.concat([kind, encode(encodeRefusal(frame.refusal))]);
     case 'chunk':
       return Buffer.concat([kind, frame.bytes]);
     case 'credit': {
@@ -56,31 +56,31 @@
       return Buffer.concat([kind, credit]);
     }
     case 'news':
-      return Buffer.concat([kind, encode(newsRow(frame.news))]);
+      return Buffer.concat([kind, encode(encodeNews(frame.news))]);
     default:
       return kind;
   }
 }
 
 /** Decodes a frame. */
-export function readFrame(bytes: Buffer): Frame {
+export function decodeFrame(bytes: Buffer): Frame {
   const kind = KINDS[bytes[0] ?? 0] ?? 'end';
   const rest = bytes.subarray(1);
   switch (kind) {
     case 'call':
-      return {kind, head: headFrom(decode(rest))};
+      return {kind, head: decodeCallHead(decode(rest))};
     case 'answer':
-      return {kind, head: answerFrom(decode(rest))};
+      return {kind, head: decodeAnswerHead(decode(rest))};
     case 'go':
-      return {kind, request: requestFrom(decode(rest))};
+      return {kind, request: decodeCallRequest(decode(rest))};
     case 'refusal':
-      return {kind, refusal: refusalFrom(decode(rest))};
+      return {kind, refusal: decodeRefusal(decode(rest))};
     case 'chunk':
       return {kind, bytes: rest};
     case 'credit':
       return {kind, bytes: rest.readUInt32BE()};
     case 'news':
-      return {kind, news: newsFrom(decode(rest))};
+      return {kind, news: decodeNews(decode(rest))};
     default:
       return {kind};
   }
--- a/packages/node/src/request/freshOnceKeys.ts
+++ b/packages/node/src/request/freshOnceKeys.ts
@@ -13,7 +13,7 @@
 >;
 
 /** Mints a key bound to the home of an upstream that accepts calls now. */
-export function mintKeyFor(
+export function mintOnceKeyFor(
   {brain, clock, random, incarnation}: KeyDependencies,
   view: ServiceView,
 ): string | undefined {
@@ -34,6 +34,6 @@
   if (onceKey === undefined || outcome !== 'not-run') {
     return {};
   }
-  const key = mintKeyFor(dependencies, view);
+  const key = mintOnceKeyFor(dependencies, view);
   return key === undefined ? {} : {'lockpin-fresh-once-key': key};
 }
--- a/packages/node/src/request/guardExchange.ts
+++ b/packages/node/src/request/guardExchange.ts
@@ -15,7 +15,7 @@
   /** Completed by the request in the go signal, when there is one. */
   head: CallHead;
   handlers: ExchangeHandlers;
-  timer: NodeJS.Timeout | undefined;
+  deadlineTimer: NodeJS.Timeout | undefined;
   readonly offeredAt: number;
   /** When the guard gives up the call. */
   readonly giveUpAt: number;
@@ -29,7 +29,7 @@
 }
 
 /** Replaces the handlers of an entry that has cancelled its call. */
-export const NO_HANDLERS: ExchangeHandlers = {
+export const NOOP_HANDLERS: ExchangeHandlers = {
   onContinue: () => undefined,
   onQueued: () => undefined,
   onAnswer: () => undefined,
--- a/packages/node/src/request/guardService.ts
+++ b/packages/node/src/request/guardService.ts
@@ -12,7 +12,7 @@
 import type {UpstreamPools} from '../connection/upstreamPools.js';
 import type {Exchange, ExchangeHandlers} from './exchange.js';
 import type {CallHead} from './frames.js';
-import {guardCall, NO_HANDLERS} from './guardExchange.js';
+import {guardCall, NOOP_HANDLERS} from './guardExchange.js';
 import type {GuardExchange} from './guardExchange.js';
 import type {GuardRecord} from './guardRecord.js';
 import {UpstreamDispatch} from './upstreamDispatch.js';
@@ -44,11 +44,11 @@
   /** Calls back periodically; returns the function that stops it. */
   readonly every: (milliseconds: number, run: () => void) => () => void;
   /** Performs the actions that do not concern one exchange. */
-  readonly onOther: (action: GuardNews) => void;
+  readonly onNodeAction: (action: GuardNodeAction) => void;
 }
 
 /** Guard actions that are not addressed to the caller of an exchange. */
-export type GuardNews = GuardAction & {
+export type GuardNodeAction = GuardAction & {
   readonly kind: 'report' | 'timeline' | 'standing' | 'upstream-crashed';
 };
 
@@ -62,7 +62,7 @@
   constructor(private readonly dependencies: GuardServiceDependencies) {
     this.dispatch = new UpstreamDispatch({
       ...dependencies,
-      tell: (event) => this.handle(event),
+      handleEvent: (event) => this.handle(event),
       isUnderWay: ({id}) => this.exchanges.has(id),
       onAnswered: (exchange, status) => this.answered(exchange, status),
     });
@@ -113,7 +113,7 @@
       id: String(this.serial),
       head,
       handlers,
-      timer: undefined,
+      deadlineTimer: undefined,
       offeredAt: now,
       giveUpAt: now + timeoutMilliseconds,
       deadline: now + head.remaining,
@@ -132,17 +132,17 @@
    * Restarts all deadline timers after a suspension of the machine, during
    * which the clock advances and timers do not; overdue calls end at once.
    */
-  reviewDeadlines(): void {
+  restartDeadlineTimers(): void {
     const now = this.dependencies.clock();
     this.exchanges.forEach((exchange) => {
-      clearTimeout(exchange.timer);
+      clearTimeout(exchange.deadlineTimer);
       this.startDeadlineTimer(exchange, now);
     });
   }
 
   private startDeadlineTimer(exchange: GuardExchange, now: number): void {
     const callId = exchange.id;
-    exchange.timer = setTimeout(
+    exchange.deadlineTimer = setTimeout(
       () => this.handle({kind: 'call-deadline-passed', callId}),
       Math.max(0, exchange.giveUpAt - now),
     );
@@ -168,7 +168,7 @@
       },
       resume: () => exchange.controller?.resume(),
       cancel: () => {
-        exchange.handlers = NO_HANDLERS;
+        exchange.handlers = NOOP_HANDLERS;
         exchange.controller?.resume();
         this.handle({kind: 'call-cancelled', callId: exchange.id});
       },
@@ -181,7 +181,7 @@
       return;
     }
     if (!('callId' in action)) {
-      this.dependencies.onOther(action);
+      this.dependencies.onNodeAction(action);
       return;
     }
     const exchange = this.exchanges.get(action.callId);
@@ -231,7 +231,7 @@
     this.remove(exchange);
     const {reason, outcome} = action.refusal;
     const {doubtReason} = action;
-    const wasCancelled = exchange.handlers === NO_HANDLERS;
+    const wasCancelled = exchange.handlers === NOOP_HANDLERS;
     exchange.upstream = action.upstream;
     this.recordEnd(
       exchange,
@@ -294,7 +294,7 @@
   }
 
   private remove(exchange: GuardExchange): void {
-    clearTimeout(exchange.timer);
+    clearTimeout(exchange.deadlineTimer);
     this.exchanges.delete(exchange.id);
   }
 }
--- a/packages/node/src/request/guardStreams.ts
+++ b/packages/node/src/request/guardStreams.ts
@@ -3,7 +3,7 @@
 
 import type grpc from '@grpc/grpc-js';
 import type {BeginExchange, Exchange, ExchangeHandlers} from './exchange.js';
-import {readFrame, writeFrame} from './frames.js';
+import {decodeFrame, encodeFrame} from './frames.js';
 
 /** Serves one exchange; the first frame of its stream is the call. */
 export function serveGuardStream(
@@ -17,7 +17,7 @@
   };
   const handlers = streamHandlers(stream, markOver);
   stream.on('data', (bytes: Buffer) => {
-    const frame = readFrame(bytes);
+    const frame = decodeFrame(bytes);
     if (frame.kind === 'call') {
       exchange = begin(frame.head, handlers);
     } else if (frame.kind === 'chunk') {
@@ -49,20 +49,20 @@
   return {
     onContinue: () => {
       stream.resume();
-      stream.write(writeFrame({kind: 'continue'}));
+      stream.write(encodeFrame({kind: 'continue'}));
     },
     onQueued: () => undefined,
     onAnswer: (head) => {
-      const bytes = writeFrame({kind: 'answer', head});
+      const bytes = encodeFrame({kind: 'answer', head});
       if (head.hasMore) {
         stream.write(bytes);
       } else {
         endWith(bytes);
       }
     },
-    onChunk: (bytes) => stream.write(writeFrame({kind: 'chunk', bytes})),
-    onEnd: () => endWith(writeFrame({kind: 'end'})),
-    onRefusal: (refusal) => endWith(writeFrame({kind: 'refusal', refusal})),
+    onChunk: (bytes) => stream.write(encodeFrame({kind: 'chunk', bytes})),
+    onEnd: () => endWith(encodeFrame({kind: 'end'})),
+    onRefusal: (refusal) => endWith(encodeFrame({kind: 'refusal', refusal})),
     onLost: () => {
       markOver();
       stream.destroy(new Error('upstream answer interrupted before its end'));
--- a/packages/node/src/request/limitRows.ts
+++ b/packages/node/src/request/limitEncoding.ts
@@ -9,7 +9,7 @@
   Loan,
   PoolMoment,
 } from '@lockpin/limits';
-import {fromRow, toRow} from './rows.js';
+import {decodeRow, encodeRow} from './rowEncoding.js';
 
 const MOMENT_FIELDS = [
   'process',
@@ -56,7 +56,7 @@
 ];
 
 /** Encodes a limit request as a row. */
-export function limitRequestRow({
+export function encodeLimitRequest({
   box,
   loan,
   draws,
@@ -64,12 +64,15 @@
   const loanRow =
     loan === undefined
       ? null
-      : toRow(LOAN_FIELDS, {...loan, since: toRow(MOMENT_FIELDS, loan.since)});
-  return [box, loanRow, draws.map((draw) => toRow(DRAW_FIELDS, draw))];
+      : encodeRow(LOAN_FIELDS, {
+          ...loan,
+          since: encodeRow(MOMENT_FIELDS, loan.since),
+        });
+  return [box, loanRow, draws.map((draw) => encodeRow(DRAW_FIELDS, draw))];
 }
 
 /** Decodes a limit request from its row. */
-export function limitRequestFrom([
+export function decodeLimitRequest([
   box,
   loanRow,
   draws,
@@ -78,20 +81,20 @@
     kind: 'limit-request',
     box,
     loan: loanRow === null ? undefined : decodeLoan(loanRow),
-    draws: draws.map((row) => fromRow<Draw>(DRAW_FIELDS, row)),
+    draws: draws.map((row) => decodeRow<Draw>(DRAW_FIELDS, row)),
   };
 }
 
 function decodeLoan(row: Row): Loan {
-  const coded = fromRow<Omit<Loan, 'since'> & {readonly since: Row}>(
+  const coded = decodeRow<Omit<Loan, 'since'> & {readonly since: Row}>(
     LOAN_FIELDS,
     row,
   );
-  return {...coded, since: fromRow<PoolMoment>(MOMENT_FIELDS, coded.since)};
+  return {...coded, since: decodeRow<PoolMoment>(MOMENT_FIELDS, coded.since)};
 }
 
 /** Encodes a limit reply as a row. */
-export function limitReplyRow({
+export function encodeLimitReply({
   box,
   moment,
   poolsDigest,
@@ -100,15 +103,15 @@
 }: LimitReply): LimitReplyRow {
   return [
     box,
-    toRow(MOMENT_FIELDS, moment),
+    encodeRow(MOMENT_FIELDS, moment),
     poolsDigest,
     lacksPools,
-    grants.map((grant) => toRow(GRANT_FIELDS, grant)),
+    grants.map((grant) => encodeRow(GRANT_FIELDS, grant)),
   ];
 }
 
 /** Decodes a limit reply from its row. */
-export function limitReplyFrom([
+export function decodeLimitReply([
   box,
   moment,
   poolsDigest,
@@ -118,9 +121,9 @@
   return {
     kind: 'limit-reply',
     box,
-    moment: fromRow<PoolMoment>(MOMENT_FIELDS, moment),
+    moment: decodeRow<PoolMoment>(MOMENT_FIELDS, moment),
     poolsDigest,
     lacksPools,
-    grants: grants.map((row) => fromRow<Grant>(GRANT_FIELDS, row)),
+    grants: grants.map((row) => decodeRow<Grant>(GRANT_FIELDS, row)),
   };
 }
--- a/packages/node/src/request/newsRows.ts
+++ b/packages/node/src/request/newsEncoding.ts
@@ -6,14 +6,14 @@
 import type {Era} from '@lockpin/types';
 import type {PeerNews} from './frameTypes.js';
 import {
-  limitReplyFrom,
-  limitReplyRow,
-  limitRequestFrom,
-  limitRequestRow,
-} from './limitRows.js';
-import type {LimitReplyRow, LimitRequestRow} from './limitRows.js';
-import {fromRow, toRow} from './rows.js';
-import {hintOf, hintRow} from './wireCodes.js';
+  decodeLimitReply,
+  encodeLimitReply,
+  decodeLimitRequest,
+  encodeLimitRequest,
+} from './limitEncoding.js';
+import type {LimitReplyRow, LimitRequestRow} from './limitEncoding.js';
+import {decodeRow, encodeRow} from './rowEncoding.js';
+import {decodeLoadHint, encodeLoadHint} from './wireCodes.js';
 import type {HintRow} from './wireCodes.js';
 
 /** The field order of a box record. */
@@ -113,16 +113,16 @@
   | readonly [kind: typeof LIMIT_REPLY, ...row: LimitReplyRow];
 
 /** Encodes news as a row. */
-export function newsRow(news: PeerNews): NewsRow {
+export function encodeNews(news: PeerNews): NewsRow {
   switch (news.kind) {
     case 'standing':
-      return [news.upstream, hintRow(news.hint)];
+      return [news.upstream, encodeLoadHint(news.hint)];
     case 'version':
       return [news.version, news.address];
     case 'follow':
       return [FOLLOW, news.isWanted];
     case 'report':
-      return [REPORT, news.address, toRow(REPORT_FIELDS, news.report)];
+      return [REPORT, news.address, encodeRow(REPORT_FIELDS, news.report)];
     case 'boxes':
       return [BOXES, news.boxes.map(encodeBox)];
     case 'records-lost':
@@ -130,9 +130,9 @@
     case 'store-restored':
       return [STORE_RESTORED, news.era];
     case 'limit-request':
-      return [LIMIT_REQUEST, ...limitRequestRow(news)];
+      return [LIMIT_REQUEST, ...encodeLimitRequest(news)];
     case 'limit-reply':
-      return [LIMIT_REPLY, ...limitReplyRow(news)];
+      return [LIMIT_REPLY, ...encodeLimitReply(news)];
   }
 }
 
@@ -140,10 +140,14 @@
  * Decodes news: a standing begins with an upstream's name, others with a
  * number.
  */
-export function newsFrom(row: NewsRow): PeerNews {
+export function decodeNews(row: NewsRow): PeerNews {
   const [first, second] = row;
   if (typeof first === 'string') {
-    return {kind: 'standing', upstream: first, hint: hintOf(second as HintRow)};
+    return {
+      kind: 'standing',
+      upstream: first,
+      hint: decodeLoadHint(second as HintRow),
+    };
   }
   switch (first) {
     case FOLLOW:
@@ -157,16 +161,16 @@
     case STORE_RESTORED:
       return {kind: 'store-restored', era: second as Era};
     case LIMIT_REQUEST:
-      return limitRequestFrom(row.slice(1) as unknown as LimitRequestRow);
+      return decodeLimitRequest(row.slice(1) as unknown as LimitRequestRow);
     case LIMIT_REPLY:
-      return limitReplyFrom(row.slice(1) as unknown as LimitReplyRow);
+      return decodeLimitReply(row.slice(1) as unknown as LimitReplyRow);
     default:
       return {kind: 'version', version: first, address: second as string};
   }
 }
 
 function decodeReport([, address, row]: ReportRow): PeerNews {
-  const report = fromRow<ReaderReport>(REPORT_FIELDS, row);
+  const report = decodeRow<ReaderReport>(REPORT_FIELDS, row);
   return {kind: 'report', address, report};
 }
 
@@ -179,16 +183,16 @@
 }
 
 function encodeBox(box: BoxRecord): readonly unknown[] {
-  const runs = box.runs?.map((run) => toRow(RUN_FIELDS, run));
-  const lifts = box.lifts?.map((lift) => toRow(LIFT_FIELDS, lift));
-  return toRow<CodedBox>(BOX_FIELDS, {...box, runs, lifts});
+  const runs = box.runs?.map((run) => encodeRow(RUN_FIELDS, run));
+  const lifts = box.lifts?.map((lift) => encodeRow(LIFT_FIELDS, lift));
+  return encodeRow<CodedBox>(BOX_FIELDS, {...box, runs, lifts});
 }
 
 function decodeBox(row: readonly unknown[]): BoxRecord {
-  const {runs, lifts, ...box} = fromRow<CodedBox>(BOX_FIELDS, row);
+  const {runs, lifts, ...box} = decodeRow<CodedBox>(BOX_FIELDS, row);
   return {
     ...box,
-    runs: runs?.map((run) => fromRow<RunReport>(RUN_FIELDS, run)),
-    lifts: lifts?.map((lift) => fromRow<QuarantineLift>(LIFT_FIELDS, lift)),
+    runs: runs?.map((run) => decodeRow<RunReport>(RUN_FIELDS, run)),
+    lifts: lifts?.map((lift) => decodeRow<QuarantineLift>(LIFT_FIELDS, lift)),
   };
 }
--- a/packages/node/src/request/refusedRecord.ts
+++ b/packages/node/src/request/refusedRecord.ts
@@ -4,7 +4,7 @@
 import type {RefusalReason} from '@lockpin/types';
 
 /** A request that was refused because of its caller. */
-export interface RefusedRecord {
+export interface RefusedRequestRecord {
   readonly requestId: string;
   readonly reason: RefusalReason;
   readonly [detail: string]: string | number;
--- a/packages/node/src/request/remoteExchange.ts
+++ b/packages/node/src/request/remoteExchange.ts
@@ -4,7 +4,7 @@
 import grpc from '@grpc/grpc-js';
 import type {PeerClient} from '../connection/peerProtocol.js';
 import type {Exchange, ExchangeHandlers} from './exchange.js';
-import {readFrame, writeFrame} from './frames.js';
+import {decodeFrame, encodeFrame} from './frames.js';
 import type {CallHead, Frame} from './frames.js';
 
 /** Starts an exchange whose request body follows in frames. */
@@ -25,20 +25,20 @@
     if (isOver) {
       return;
     }
-    const frame = readFrame(bytes);
+    const frame = decodeFrame(bytes);
     isOver = isLastFrame(frame);
     if (deliver(frame, handlers) === 'congested') {
       stream.pause();
     }
   });
   stream.on('end', () => lost(true));
-  stream.on('error', (error: grpc.ServiceError) => lost(!neverSent(error)));
+  stream.on('error', (error: grpc.ServiceError) => lost(!wasNeverSent(error)));
   stream.on('drain', handlers.onContinue);
-  stream.write(writeFrame({kind: 'call', head}));
+  stream.write(encodeFrame({kind: 'call', head}));
   return {
-    sendChunk: (bytes) => stream.write(writeFrame({kind: 'chunk', bytes})),
+    sendChunk: (bytes) => stream.write(encodeFrame({kind: 'chunk', bytes})),
     sendEnd: () => {
-      stream.write(writeFrame({kind: 'end'}));
+      stream.write(encodeFrame({kind: 'end'}));
       stream.end();
     },
     go: () => undefined,
@@ -54,7 +54,7 @@
 const NO_CONNECTION = 'No connection established';
 
 /** Whether the call was certainly not sent; when unclear, it counts as sent. */
-export function neverSent(error: grpc.ServiceError): boolean {
+export function wasNeverSent(error: grpc.ServiceError): boolean {
   return (
     error.code === grpc.status.UNAVAILABLE &&
     error.details.startsWith(NO_CONNECTION)
--- a/packages/node/src/request/remoteExchanges.ts
+++ b/packages/node/src/request/remoteExchanges.ts
@@ -5,7 +5,7 @@
 import type {PeerClient} from '../connection/peerProtocol.js';
 import type {Exchange, ExchangeHandlers} from './exchange.js';
 import {ExchangeStream} from './exchangeStream.js';
-import type {NewsExchange} from './exchangeStreamServer.js';
+import type {NewsHandlers} from './exchangeStreamServer.js';
 import {FollowedStreams} from './followedStreams.js';
 import type {OnFrameBytes} from './frameBatch.js';
 import type {CallHead, PeerNews} from './frames.js';
@@ -22,7 +22,7 @@
 
   constructor(
     private readonly client: (address: string) => PeerClient,
-    private readonly newsHandlers?: Pick<NewsExchange, 'first' | 'onNews'>,
+    private readonly newsHandlers?: Pick<NewsHandlers, 'first' | 'onNews'>,
     /** Drops the client of an address, so that the next one reconnects. */
     private readonly renew: (address: string) => void = () => undefined,
     /** Creates the counter of the frame bytes to and from an address. */
@@ -43,17 +43,17 @@
   }
 
   /** Sends news to the nodes of all guards in use. */
-  tell(news: PeerNews): void {
+  broadcastNews(news: PeerNews): void {
     for (const stream of this.streams.values()) {
       if (stream.isUsable) {
-        stream.tell(news);
+        stream.sendNews(news);
       }
     }
   }
 
   /** Sends news to one node, on the stream that its calls use. */
-  tellNode(address: string, news: PeerNews): void {
-    this.stream(address).tell(news);
+  sendNews(address: string, news: PeerNews): void {
+    this.stream(address).sendNews(news);
   }
 
   /** Follows the given nodes and unfollows all others. */
@@ -62,7 +62,7 @@
   }
 
   /** Reopens broken streams to followed nodes. */
-  keepFollowing(): void {
+  reopenFollowed(): void {
     this.followed.reopen();
   }
 
@@ -71,8 +71,8 @@
    * next call uses a new connection: the current one may be dead without having
    * been closed.
    */
-  wasSilent(address: string): void {
-    if (this.streams.get(address)?.wasSilent()) {
+  countUnansweredOffer(address: string): void {
+    if (this.streams.get(address)?.countUnansweredOffer()) {
       this.dropConnection(address);
     }
   }
@@ -92,12 +92,12 @@
     const opened: ExchangeStream = new ExchangeStream(
       client.exchanges(),
       (news) =>
-        this.newsHandlers?.onNews(news, (answer) => opened.tell(answer)),
+        this.newsHandlers?.onNews(news, (answer) => opened.sendNews(answer)),
       this.counterFor(address),
     );
     this.streams.set(address, opened);
     if (this.newsHandlers !== undefined) {
-      opened.tell(this.newsHandlers.first());
+      opened.sendNews(this.newsHandlers.first());
     }
     return opened;
   }
--- a/packages/node/src/request/rows.ts
+++ b/packages/node/src/request/rowEncoding.ts
@@ -5,7 +5,7 @@
  */
 
 /** Encodes an object as a row; undefined becomes null, which takes one byte. */
-export function toRow<T extends object>(
+export function encodeRow<T extends object>(
   fields: readonly (keyof T)[],
   value: T,
 ): readonly unknown[] {
@@ -13,7 +13,7 @@
 }
 
 /** Decodes an object from its row. */
-export function fromRow<T extends object>(
+export function decodeRow<T extends object>(
   fields: readonly (keyof T)[],
   row: readonly unknown[],
 ): T {
--- a/packages/node/src/request/upstreamAnswer.ts
+++ b/packages/node/src/request/upstreamAnswer.ts
@@ -3,7 +3,7 @@
 
 import type {IncomingHttpHeaders} from 'node:http';
 import {answerHeaders} from './headers.js';
-import type {AnswerVerdict} from './upstreamProtocol.js';
+import type {AnswerClassification} from './upstreamProtocol.js';
 
 /** Answers up to this size are buffered until they are complete. */
 const ANSWER_BUFFER_LIMIT_BYTES = 64 * 1024;
@@ -17,7 +17,7 @@
   /** The answer is delimited only by the end of its connection. */
   readonly isUnframed: boolean;
   /** Nothing is sent to the entry before the answer is complete. */
-  isHeldBack: boolean;
+  isBuffered: boolean;
   /** The head was sent to the entry. */
   hasBegun = false;
   private readonly chunks: Buffer[] = [];
@@ -26,7 +26,7 @@
   constructor(
     readonly status: number,
     raw: IncomingHttpHeaders,
-    readonly verdict: AnswerVerdict,
+    readonly classification: AnswerClassification,
     private readonly isStored: boolean,
     holdsUnframed: boolean,
   ) {
@@ -35,16 +35,16 @@
     const hasNoBody = NO_BODY_STATUSES.has(status);
     const isOpenEnded = Number.isNaN(length) && !hasNoBody;
     this.isUnframed = isOpenEnded && raw['transfer-encoding'] === undefined;
-    this.isHeldBack =
+    this.isBuffered =
       length <= ANSWER_BUFFER_LIMIT_BYTES ||
       hasNoBody ||
       (isOpenEnded && holdsUnframed);
   }
 
   /** Adds a part of the body; tells whether it is buffered. */
-  take(chunk: Buffer): 'held' | 'too-long-to-hold' | 'passed-on' {
+  addChunk(chunk: Buffer): 'held' | 'buffer-exceeded' | 'not-buffered' {
     this.bytes += chunk.length;
-    const wasBuffered = this.isHeldBack;
+    const wasBuffered = this.isBuffered;
     if (
       wasBuffered ||
       (this.isStored && this.bytes <= ANSWER_BUFFER_LIMIT_BYTES)
@@ -52,10 +52,10 @@
       this.chunks.push(chunk);
     }
     if (wasBuffered && this.bytes > ANSWER_BUFFER_LIMIT_BYTES) {
-      this.isHeldBack = false;
-      return 'too-long-to-hold';
+      this.isBuffered = false;
+      return 'buffer-exceeded';
     }
-    return wasBuffered ? 'held' : 'passed-on';
+    return wasBuffered ? 'held' : 'not-buffered';
   }
 
   body(): Buffer {
--- a/packages/node/src/request/upstreamDispatch.ts
+++ b/packages/node/src/request/upstreamDispatch.ts
@@ -21,7 +21,7 @@
   readonly pools: UpstreamPools;
   readonly protocol?: UpstreamProtocol;
   /** Passes an event to the decision logic and performs its actions. */
-  readonly tell: (event: GuardEvent) => void;
+  readonly handleEvent: (event: GuardEvent) => void;
   /** Whether the guard still waits for the result of a call. */
   readonly isUnderWay: (exchange: GuardExchange) => boolean;
   /** Called for a complete answer, before the decision logic is notified. */
@@ -42,7 +42,7 @@
     const isSingle = head.repetition === 'at-most-once';
     const pool = isSingle ? pools.single(upstream) : pools.get(upstream);
     if (pool === undefined) {
-      this.dependencies.tell({
+      this.dependencies.handleEvent({
         kind: 'upstream-failed',
         callId: exchange.id,
         wasSent: false,
@@ -123,7 +123,11 @@
         this.received(exchange, controller, chunk),
       onResponseEnd: () => this.answered(exchange, upstream),
       onResponseError: () =>
-        this.dependencies.tell({kind: 'upstream-failed', callId, wasSent}),
+        this.dependencies.handleEvent({
+          kind: 'upstream-failed',
+          callId,
+          wasSent,
+        }),
     };
   }
 
@@ -134,18 +138,22 @@
     headers: IncomingHttpHeaders,
   ): void {
     const {protocol} = this;
-    const classification = protocol.judge(exchange.head, status, headers);
+    const classification = protocol.classifyAnswer(
+      exchange.head,
+      status,
+      headers,
+    );
     const answer = new UpstreamAnswer(
       status,
       headers,
       classification,
       exchange.head.repetition === 'once-only',
-      protocol.holdsUnframed,
+      protocol.buffersUnframed,
     );
     exchange.answer = answer;
     const isPassed =
       classification === 'answer' || classification === 'overloaded';
-    if (!answer.isHeldBack && isPassed) {
+    if (!answer.isBuffered && isPassed) {
       this.sendHead(exchange, answer, upstream);
     }
   }
@@ -156,14 +164,14 @@
     chunk: Buffer,
   ): void {
     const {answer} = exchange;
-    if (answer === undefined || (!answer.hasBegun && !answer.isHeldBack)) {
+    if (answer === undefined || (!answer.hasBegun && !answer.isBuffered)) {
       return;
     }
-    const taken = answer.take(chunk);
+    const taken = answer.addChunk(chunk);
     if (taken === 'held') {
       return;
     }
-    const isFirst = taken === 'too-long-to-hold';
+    const isFirst = taken === 'buffer-exceeded';
     if (isFirst) {
       this.sendHead(exchange, answer, exchange.upstream);
     }
@@ -175,7 +183,12 @@
 
   private answered(exchange: GuardExchange, upstream: string): void {
     const {answer} = exchange;
-    const {pools, isUnderWay, onAnswered, tell} = this.dependencies;
+    const {
+      pools,
+      isUnderWay,
+      onAnswered,
+      handleEvent: tell,
+    } = this.dependencies;
     if (answer === undefined || !isUnderWay(exchange)) {
       return;
     }
@@ -188,7 +201,7 @@
     }
     onAnswered(exchange, answer.status);
     tell(answeredEvent(exchange.id, answer));
-    if (answer.isHeldBack) {
+    if (answer.isBuffered) {
       this.sendHead(exchange, answer, upstream);
     } else {
       exchange.handlers.onEnd();
@@ -209,8 +222,8 @@
       hint: this.dependencies.brain.hintOf(now, upstream),
       isUnframed: answer.isUnframed,
       ranMilliseconds: now - (exchange.sentAt ?? now),
-      body: answer.isHeldBack ? answer.body() : undefined,
-      hasMore: !answer.isHeldBack,
+      body: answer.isBuffered ? answer.body() : undefined,
+      hasMore: !answer.isBuffered,
     });
   }
 }
@@ -218,7 +231,7 @@
 /** The event for a response that is not an answer; undefined for others. */
 function failureEvent(
   callId: string,
-  {verdict}: UpstreamAnswer,
+  {classification: verdict}: UpstreamAnswer,
 ): GuardEvent | undefined {
   switch (verdict) {
     case 'not-run':
@@ -242,7 +255,7 @@
     kind: 'upstream-answered',
     callId,
     status: answer.status,
-    isShed: answer.verdict === 'overloaded',
+    isShed: answer.classification === 'overloaded',
     answer:
       stored === undefined
         ? undefined
--- a/packages/node/src/request/upstreamProtocol.ts
+++ b/packages/node/src/request/upstreamProtocol.ts
@@ -6,7 +6,7 @@
 import type {CallHead, FlatHeaders} from './frames.js';
 
 /** What an answer means for its call, besides its status. */
-export type AnswerVerdict =
+export type AnswerClassification =
   | 'answer'
   /** An answer from an upstream that is overloaded rather than faulty. */
   | 'overloaded'
@@ -31,13 +31,13 @@
 /** The HTTP conventions between a deployment and its upstreams. */
 export interface UpstreamProtocol {
   readonly callHeaders: (call: UpstreamCall) => FlatHeaders;
-  readonly judge: (
+  readonly classifyAnswer: (
     head: CallHead,
     status: number,
     headers: IncomingHttpHeaders,
-  ) => AnswerVerdict;
+  ) => AnswerClassification;
   /** Whether answers without a length are buffered until they are complete. */
-  readonly holdsUnframed: boolean;
+  readonly buffersUnframed: boolean;
 }
 
 /** The upstream rejected the call because of its load. */
@@ -53,11 +53,11 @@
     'lockpin-deadline',
     String(Math.ceil(deadline)),
   ],
-  judge: (_head, status, headers) => {
+  classifyAnswer: (_head, status, headers) => {
     const isShed =
       status === TOO_MANY_REQUESTS ||
       (status === UNAVAILABLE && headers['retry-after'] !== undefined);
     return isShed ? 'overloaded' : 'answer';
   },
-  holdsUnframed: false,
+  buffersUnframed: false,
 };
--- a/packages/node/src/request/wireCodes.ts
+++ b/packages/node/src/request/wireCodes.ts
@@ -12,7 +12,7 @@
 /** Translates between the values of an enum and their codes. */
 export interface WireCodes<Word extends string> {
   readonly codeOf: (word: Word) => number;
-  readonly wordOf: (code: number) => Word;
+  readonly nameOf: (code: number) => Word;
 }
 
 function wireCodes<Word extends string>(
@@ -25,7 +25,7 @@
   }
   return {
     codeOf: (word) => codes[word],
-    wordOf: (code) => words.get(code) ?? wordOfUnknownCode,
+    nameOf: (code) => words.get(code) ?? wordOfUnknownCode,
   };
 }
 
@@ -116,7 +116,7 @@
 /**
  * Encodes a load hint; the limit rounds up, which admits the same whole calls.
  */
-export function hintRow(hint: LoadHint): HintRow {
+export function encodeLoadHint(hint: LoadHint): HintRow {
   const {state, occupied, limit, doubtedFor, probeIn} = hint;
   const load = [STATE_CODES.codeOf(state), occupied, Math.ceil(limit)] as const;
   return doubtedFor === undefined
@@ -125,8 +125,8 @@
 }
 
 /** Decodes a load hint from its row. */
-export function hintOf(row: HintRow): LoadHint {
+export function decodeLoadHint(row: HintRow): LoadHint {
   const [code, occupied, limit, doubtedFor, probeIn] = row;
-  const load = {state: STATE_CODES.wordOf(code), occupied, limit};
+  const load = {state: STATE_CODES.nameOf(code), occupied, limit};
   return doubtedFor === undefined ? load : {...load, doubtedFor, probeIn};
 }
--- a/packages/once/src/__tests__/onceLedger.test.ts
+++ b/packages/once/src/__tests__/onceLedger.test.ts
@@ -50,7 +50,7 @@
     const one = key();
     ledger.begin(NOW, one, 'd');
     ledger.started(one.text);
-    ledger.broke(one.text);
+    ledger.interrupted(one.text);
     expect(ledger.begin(NOW, one, 'd').kind).toBe('may-have-run');
   });
 
--- a/packages/once/src/onceKey.ts
+++ b/packages/once/src/onceKey.ts
@@ -53,7 +53,7 @@
 /**
  * Creates the identity of a process from its start time and a random suffix.
  */
-export function makeIncarnation(now: number, random: RandomSource): string {
+export function createIncarnation(now: number, random: RandomSource): string {
   const suffix = Math.floor(random() * 2 ** 31).toString(36);
   return `${now.toString(36)}${suffix.padStart(6, '0')}`;
 }
--- a/packages/once/src/onceLedger.ts
+++ b/packages/once/src/onceLedger.ts
@@ -32,7 +32,7 @@
 export interface OnceLimits {
   readonly keys: number;
   readonly answerBytes: number;
-  readonly largestAnswer: number;
+  readonly largestAnswerBytes: number;
   /** Keys minted further ahead of the local clock than this are refused. */
   readonly futureMilliseconds: number;
 }
@@ -41,7 +41,7 @@
 export const DEFAULT_ONCE_LIMITS: OnceLimits = {
   keys: 50_000,
   answerBytes: 16 * 1024 * 1024,
-  largestAnswer: 64 * 1024,
+  largestAnswerBytes: 64 * 1024,
   futureMilliseconds: 60_000,
 };
 
@@ -108,7 +108,7 @@
   answered(key: string, answer: StoredAnswer): void {
     const entry = this.set(key, 'answered');
     const bytes = answer.body.length;
-    if (entry === undefined || bytes > this.limits.largestAnswer) {
+    if (entry === undefined || bytes > this.limits.largestAnswerBytes) {
       this.set(key, 'ran');
       return;
     }
@@ -123,7 +123,7 @@
   }
 
   /** The exchange with the upstream was interrupted: the call may have run. */
-  broke(key: string): void {
+  interrupted(key: string): void {
     this.set(key, 'may-have-run');
   }
 
