--- a/packages/brain/src/entry/answerHandler.ts
+++ b/packages/brain/src/entry/answerHandler.ts
@@ -2,7 +2,7 @@
 /** Handles answers and overdue attempts. */
 
 import type {RandomSource} from '@lockpin/types';
-import {FIRST_FAILED_STATUS} from '@lockpin/utils';
+import {FIRST_SERVER_ERROR_STATUS} from '@lockpin/utils';
 import type {AttemptFeedback} from './attemptFeedback.js';
 import type {CallRegistry} from './callRegistry.js';
 import type {CallOffers} from './callOffers.js';
@@ -52,7 +52,7 @@
     const {news, books, overdueAttempts} = this.context;
     const {callId, status} = event;
     news.answerReceived(now, state.overdueUpstream ?? '', state, event);
-    if (status >= FIRST_FAILED_STATUS) {
+    if (status >= FIRST_SERVER_ERROR_STATUS) {
       return books.overdueEnded(state);
     }
     overdueAttempts.clear(state);
@@ -74,7 +74,7 @@
     const {callId, status, isWhole} = event;
     books.attemptEnded(state);
     news.answerReceived(now, state.upstream, state, event);
-    const isWorthRetry = status >= FIRST_FAILED_STATUS && isWhole;
+    const isWorthRetry = status >= FIRST_SERVER_ERROR_STATUS && isWhole;
     state.mayHaveRun = true;
     state.ran.add(state.upstream);
     if (
--- a/packages/brain/src/entry/attemptFeedback.ts
+++ b/packages/brain/src/entry/attemptFeedback.ts
@@ -2,7 +2,7 @@
 /** Feeds the outcomes of attempts back into upstream loads and durations. */
 
 import type {LoadHint, UpstreamLoads} from '@lockpin/routing';
-import {FIRST_FAILED_STATUS} from '@lockpin/utils';
+import {FIRST_SERVER_ERROR_STATUS} from '@lockpin/utils';
 import type {AttemptTiming} from './attemptTiming.js';
 import type {CallState} from './callState.js';
 import type {EntryEvent} from './entryMessages.js';
@@ -41,7 +41,7 @@
     {hint, status, ranMilliseconds}: AnswerFeedback,
   ): void {
     this.hintReceived(now, upstream, hint);
-    if (ranMilliseconds !== undefined && status < FIRST_FAILED_STATUS) {
+    if (ranMilliseconds !== undefined && status < FIRST_SERVER_ERROR_STATUS) {
       this.timing.answered(call.route.name, ranMilliseconds);
     }
   }
--- a/packages/brain/src/guard/upstreamGuard.ts
+++ b/packages/brain/src/guard/upstreamGuard.ts
@@ -18,7 +18,7 @@
   UpstreamIncarnation,
   UpstreamSpec,
 } from '@lockpin/types';
-import {FIRST_FAILED_STATUS} from '@lockpin/utils';
+import {FIRST_SERVER_ERROR_STATUS} from '@lockpin/utils';
 import type {GuardCall, GuardSettings} from './guardMessages.js';
 import {OwnCallFailures} from './ownCallFailures.js';
 import {chargeRetryBudget} from './chargeRetryBudget.js';
@@ -219,7 +219,7 @@
     isShed: boolean,
   ): CallEnd {
     const isFailure =
-      status >= FIRST_FAILED_STATUS && status !== NOT_IMPLEMENTED_STATUS;
+      status >= FIRST_SERVER_ERROR_STATUS && status !== NOT_IMPLEMENTED_STATUS;
     if (isShed) {
       this.admission.shed();
     } else if (!isFailure) {
--- a/packages/node/src/__tests__/suspension.test.ts
+++ b/packages/node/src/__tests__/suspension.test.ts
@@ -10,7 +10,7 @@
 import type {GuardReport} from '@lockpin/floor';
 import {OnceLedger, mintOnceKey, parseOnceKey} from '@lockpin/once';
 import {WindowedRetryBudget} from '@lockpin/routing';
-import {CountingClock, seededRandom} from '@lockpin/utils';
+import {SuspendAwareClock, seededRandom} from '@lockpin/utils';
 
 const EPOCH = 1_700_000_000_000;
 
@@ -24,7 +24,7 @@
 class Machine {
   private ranMilliseconds = 0;
   private suspendedMilliseconds = 0;
-  private readonly suspendAwareClock = new CountingClock({
+  private readonly suspendAwareClock = new SuspendAwareClock({
     steady: () => this.ranMilliseconds,
     timeOfDay: () => EPOCH + this.ranMilliseconds + this.suspendedMilliseconds,
     sinceBoot: () => this.ranMilliseconds + this.suspendedMilliseconds,
--- a/packages/node/src/connection/lookAtAddress.ts
+++ b/packages/node/src/connection/checkAddress.ts
@@ -18,7 +18,7 @@
 const REFUSED = 'ECONNREFUSED';
 
 /** Opens a connection and closes it immediately. */
-export function lookAtAddress(
+export function checkAddress(
   address: string,
   done: (state: AddressState) => void,
 ): void {
--- a/packages/node/src/connection/upstreamPools.ts
+++ b/packages/node/src/connection/upstreamPools.ts
@@ -8,7 +8,7 @@
 import type {AddressState} from '@lockpin/quarantine';
 import type {Resource, UpstreamIncarnation} from '@lockpin/types';
 import {isSameIncarnation} from '@lockpin/utils';
-import {lookAtAddress} from './lookAtAddress.js';
+import {checkAddress} from './checkAddress.js';
 
 /**
  * Upstreams on the same box connect at once; the guard enforces all other
@@ -59,7 +59,7 @@
    * data that an earlier call left on a connection, or by an idle connection
    * that was closed.
    */
-  single(upstream: string): Client | undefined {
+  createSingleUseClient(upstream: string): Client | undefined {
     const address = this.pools.get(upstream)?.address;
     return address === undefined
       ? undefined
@@ -67,12 +67,12 @@
   }
 
   /** Checks whether a process listens on the address of an upstream. */
-  lookAt(upstream: string, done: (state: AddressState) => void): void {
+  checkAddress(upstream: string, done: (state: AddressState) => void): void {
     const entry = this.pools.get(upstream);
     if (entry === undefined) {
       done('unknown');
     } else {
-      lookAtAddress(entry.address, done);
+      checkAddress(entry.address, done);
     }
   }
 
--- a/packages/node/src/operators/access.ts
+++ b/packages/node/src/operators/access.ts
@@ -96,7 +96,7 @@
 }
 
 /** Whether an operator may read a resource. */
-export function maySee(
+export function mayRead(
   operator: Operator,
   kind: ResourceKind,
   name: string,
@@ -117,7 +117,7 @@
 }
 
 /** Returns a resource as shown to operators: tokens without salt and hash. */
-export function visible(resource: AnyResource): unknown {
+export function withoutSecrets(resource: AnyResource): unknown {
   return resource.kind === 'Token'
     ? {...resource, spec: {scope: resource.spec.scope}}
     : resource;
--- a/packages/node/src/operators/operatorApp.ts
+++ b/packages/node/src/operators/operatorApp.ts
@@ -21,9 +21,9 @@
 import {
   authenticate,
   isFleetWide,
-  maySee,
+  mayRead,
   mayWrite,
-  visible,
+  withoutSecrets,
 } from './access.js';
 import type {Operator} from './access.js';
 import {sendApiFailure} from './apiProblem.js';
@@ -138,10 +138,10 @@
         (prefix === '' ||
           resource.name === prefix ||
           resource.name.startsWith(`${prefix}/`)) &&
-        maySee(operator, resource.kind, resource.name),
+        mayRead(operator, resource.kind, resource.name),
     );
     const {version} = state;
-    sendJson(response, 200, {version, items: items.map(visible)});
+    sendJson(response, 200, {version, items: items.map(withoutSecrets)});
   };
 }
 
@@ -153,13 +153,13 @@
     const found = isResourceKind(kind)
       ? host.control.replica.state.get(kind, name)
       : undefined;
-    const isVisible = isResourceKind(kind) && maySee(operator, kind, name);
+    const isVisible = isResourceKind(kind) && mayRead(operator, kind, name);
     if (found === undefined || !isVisible) {
       const resource = `${kind} ${name}`;
       sendApiFailure(response, {kind: 'not-found', resource});
       return;
     }
-    sendJson(response, 200, visible(found as never));
+    sendJson(response, 200, withoutSecrets(found as never));
   };
 }
 
--- a/packages/node/src/operators/parseChange.ts
+++ b/packages/node/src/operators/parseChange.ts
@@ -30,7 +30,7 @@
 });
 
 /** A change as submitted by an operator. */
-export interface OfferedChange {
+export interface SubmittedChange {
   readonly changeId?: string | undefined;
   readonly writes: readonly Write[];
 }
@@ -38,14 +38,14 @@
 /** Parses the body of a change request; each problem names its field. */
 export function parseChange(
   body: Buffer,
-): Result<OfferedChange, readonly FieldProblem[]> {
+): Result<SubmittedChange, readonly FieldProblem[]> {
   const json = tryParseJson(body);
   if (json === undefined) {
     return failure([{field: 'body', problem: 'give JSON'}]);
   }
   const parsed = change.safeParse(json);
   if (parsed.success) {
-    return success(parsed.data as OfferedChange);
+    return success(parsed.data as SubmittedChange);
   }
   return failure(
     parsed.error.issues.map((issue) => ({
--- a/packages/node/src/operators/quarantineApi.ts
+++ b/packages/node/src/operators/quarantineApi.ts
@@ -20,13 +20,13 @@
   readonly tokenHash: string;
   /** Returns the version of the configuration in force. */
   readonly version: () => number;
-  readonly all: () => readonly QuarantinedRequest[];
+  readonly quarantinedRequests: () => readonly QuarantinedRequest[];
   /** Lifts the quarantine of a request on all boxes. */
   readonly lift: (digest: string) => void;
 }
 
 /** Serves GET /resources?kind=Quarantine and POST /quarantines/DIGEST/lift. */
-export function quarantineApi(
+export function createQuarantineApi(
   dependencies: QuarantineApiDependencies,
 ): RequestHandler {
   return (request, response) => {
@@ -54,7 +54,7 @@
 }
 
 function list(
-  {all, version}: QuarantineApiDependencies,
+  {quarantinedRequests: all, version}: QuarantineApiDependencies,
   kind: string | null,
   response: ServerResponse,
 ): void {
@@ -78,7 +78,11 @@
   digest: string,
   response: ServerResponse,
 ): void {
-  if (!dependencies.all().some((request) => request.digest === digest)) {
+  if (
+    !dependencies
+      .quarantinedRequests()
+      .some((request) => request.digest === digest)
+  ) {
     const resource = `${QUARANTINE_KIND} ${digest}`;
     sendApiFailure(response, {kind: 'not-found', resource});
     return;
--- a/packages/node/src/process/composition.ts
+++ b/packages/node/src/process/composition.ts
@@ -32,7 +32,7 @@
 import type {NodeMetrics} from './metrics.js';
 import {NodeHost} from './nodeHost.js';
 import type {NodeEnvironment} from './nodeEnvironment.js';
-import {registerOnceIn} from './registerOnce.js';
+import {createSingletonRegistrar} from './singletonRegistrar.js';
 import {TimelineStore} from './timelineStore.js';
 import {every} from './timers.js';
 
@@ -67,7 +67,7 @@
 /** Registers all components as singletons, created when first resolved. */
 export function composeNode(settings: NodeSettings): DependencyContainer {
   const container = root.createChildContainer();
-  const registerSingleton = registerOnceIn(container);
+  const registerSingleton = createSingletonRegistrar(container);
   container.register(TOKENS.settings, {useValue: settings});
   registerSingleton(TOKENS.logger, () =>
     createLogger(settings.logLevel, {box: settings.box}),
@@ -215,7 +215,7 @@
     every,
     brain: host.guard,
     pools: dependencies.resolve(TOKENS.pools),
-    onNodeAction: (action) => host.guardActed(action),
+    onNodeAction: (action) => host.handleGuardAction(action),
   });
 }
 
@@ -271,7 +271,7 @@
         missing: missing.slice(0, MAXIMUM_MISSING_BOXES).map(({box}) => box),
       };
     },
-    onWatcherCount: (count) => host.watchersCounted(count),
+    onWatcherCount: (count) => host.setWatcherCount(count),
   });
 }
 
--- a/packages/node/src/process/ownUpstreamNews.ts
+++ b/packages/node/src/process/configureOwnUpstream.ts
@@ -9,7 +9,7 @@
 import {ownUpstreamResource} from './ownUpstreamResource.js';
 
 /** Settings of the upstream's node, and recipients of the change. */
-export interface OwnUpstreamNews {
+export interface OwnUpstreamContext {
   readonly settings: FleetNodeSettings;
   readonly log: DecisionLog;
   /** Undefined before the host has started. */
@@ -17,8 +17,8 @@
 }
 
 /** Configures the connection pools and the guard for the announced upstream. */
-export function tellOfOwnUpstream(
-  {settings, log, listeners}: OwnUpstreamNews,
+export function configureOwnUpstream(
+  {settings, log, listeners}: OwnUpstreamContext,
   upstream: OwnUpstream,
 ): void {
   const {service, incarnation} = upstream;
--- a/packages/node/src/process/customerLimits.ts
+++ b/packages/node/src/process/customerLimits.ts
@@ -31,7 +31,7 @@
   readonly fleet: () => LimitFleet;
   readonly send: (box: string, message: LimitMessage) => void;
   /** Called if a box did not answer; the connection to it may be dead. */
-  readonly onSilence: (box: string) => void;
+  readonly onUnresponsive: (box: string) => void;
 }
 
 /** Enforces the rate limits of customers. */
@@ -103,12 +103,12 @@
   }
 
   /** Answers a request of a node to a pool of this node. */
-  requested(request: LimitRequest): LimitReply {
+  handleRequest(request: LimitRequest): LimitReply {
     return this.pool.answer(this.now, request);
   }
 
   /** Handles the reply of a pool. */
-  replied(reply: LimitReply): void {
+  replyReceived(reply: LimitReply): void {
     this.perform(this.client.replied(this.now, reply));
   }
 
@@ -123,7 +123,7 @@
           this.send(action.box, action.request);
           break;
         case 'pool-silent':
-          this.context.onSilence(action.box);
+          this.context.onUnresponsive(action.box);
           break;
         case 'decided':
           this.resolveAdmission(action.callId, action.admission);
@@ -135,7 +135,7 @@
   private send(box: string, request: LimitRequest): void {
     if (box === this.context.box) {
       // Deferred until the current task ends, like a reply from another box.
-      queueMicrotask(() => this.replied(this.requested(request)));
+      queueMicrotask(() => this.replyReceived(this.handleRequest(request)));
       return;
     }
     if (request.draws.length > 0) {
--- a/packages/node/src/process/decisionLog.ts
+++ b/packages/node/src/process/decisionLog.ts
@@ -8,7 +8,7 @@
 
 import type {CallRecord} from '../request/attemptHistory.js';
 import type {GuardRecord} from '../request/guardRecord.js';
-import {LineAllowance} from './lineAllowance.js';
+import {LogRateLimiter} from './logRateLimiter.js';
 
 /** Fields of a log line; must not contain secrets or request bodies. */
 export type LogDetail = Readonly<Record<string, unknown>>;
@@ -33,17 +33,17 @@
 
 /** Writes the log lines of one process. */
 export class DecisionLog {
-  private readonly routineLimiter: LineAllowance;
-  private readonly notableLimiter: LineAllowance;
+  private readonly routineLimiter: LogRateLimiter;
+  private readonly notableLimiter: LogRateLimiter;
 
   constructor(private readonly dependencies: DecisionLogDependencies) {
     const {clock} = dependencies;
-    this.routineLimiter = new LineAllowance(
+    this.routineLimiter = new LogRateLimiter(
       clock(),
       ROUTINE_LINES_PER_SECOND,
       BURST_SECONDS,
     );
-    this.notableLimiter = new LineAllowance(
+    this.notableLimiter = new LogRateLimiter(
       clock(),
       NOTABLE_LINES_PER_SECOND,
       BURST_SECONDS,
@@ -85,7 +85,7 @@
   }
 
   private write(
-    rateLimiter: LineAllowance,
+    rateLimiter: LogRateLimiter,
     event: string,
     detail: LogDetail,
   ): void {
@@ -94,7 +94,8 @@
       return;
     }
     const leftOut =
-      this.routineLimiter.takeLeftOut() + this.notableLimiter.takeLeftOut();
+      this.routineLimiter.takeDroppedCount() +
+      this.notableLimiter.takeDroppedCount();
     if (leftOut > 0) {
       this.writeEvent(now, 'lines-left-out', {count: leftOut});
     }
--- a/packages/node/src/process/finishCalls.ts
+++ b/packages/node/src/process/drainCalls.ts
@@ -16,7 +16,7 @@
 }
 
 /** Waits until no calls are in flight or the clock reaches the limit. */
-export async function finishCalls(
+export async function drainCalls(
   counters: readonly CallCounter[],
   clock: Clock,
   limit: number,
--- a/packages/node/src/process/fleetActions.ts
+++ b/packages/node/src/process/fleetActions.ts
@@ -12,7 +12,7 @@
 };
 
 /** Handlers of the actions of the fleet's state machine. */
-export interface FleetActionTargets {
+export interface FleetActionHandlers {
   readonly store: FleetStoreCalls;
   readonly log: DecisionLog;
   /**
@@ -20,7 +20,7 @@
    * started.
    */
   readonly listeners: () => FleetHostListeners | undefined;
-  readonly askPeer: (address: string, query: PeerQuery) => void;
+  readonly queryPeer: (address: string, query: PeerQuery) => void;
   readonly configurationChanged: (change: ConfigurationChange) => void;
   /** The announcing process gets the refusal as the result of its call. */
   readonly announcementRefused: () => void;
@@ -29,7 +29,7 @@
 
 /** Performs an action. */
 export function performFleetAction(
-  handlers: FleetActionTargets,
+  handlers: FleetActionHandlers,
   action: FleetAction,
 ): void {
   const listeners = handlers.listeners();
@@ -42,19 +42,19 @@
       handlers.store.perform(action);
       break;
     case 'query-peer':
-      handlers.askPeer(action.address, action.query);
+      handlers.queryPeer(action.address, action.query);
       break;
     case 'follow-peers':
       listeners?.onFollow(action.peers);
       break;
     case 'notify-followers':
-      listeners?.onFollowerNews(action.news);
+      listeners?.onFollowerUpdate(action.news);
       break;
     case 'notify-entries':
-      listeners?.onEntryNews(action.news);
+      listeners?.onEntryUpdate(action.news);
       break;
     case 'notify-nodes':
-      listeners?.onNodeNews(action.addresses, action.news);
+      listeners?.onNodeUpdate(action.addresses, action.news);
       break;
     case 'request-quarantined':
       listeners?.onQuarantined(action.digest);
--- a/packages/node/src/process/fleetComposition.ts
+++ b/packages/node/src/process/fleetComposition.ts
@@ -7,7 +7,11 @@
 import type {PeerQueryReply, PeerQuery} from '@lockpin/fleet';
 import type {Logger} from '@lockpin/logger';
 import {createIncarnation} from '@lockpin/once';
-import {FIRST_FAILED_STATUS, onClockGain, steadyClock} from '@lockpin/utils';
+import {
+  FIRST_SERVER_ERROR_STATUS,
+  onSuspension,
+  steadyClock,
+} from '@lockpin/utils';
 import {PeerChannels} from '../connection/peerChannels.js';
 import {PeerServer} from '../connection/peerServer.js';
 import {UpstreamPools} from '../connection/upstreamPools.js';
@@ -28,7 +32,7 @@
 import {PeerTraffic} from './peerTraffic.js';
 import {createPrometheusMetrics} from './prometheusMetrics.js';
 import type {TextMetrics} from './prometheusMetrics.js';
-import {registerOnceIn} from './registerOnce.js';
+import {createSingletonRegistrar} from './singletonRegistrar.js';
 import {Subscribers} from './subscribers.js';
 import {every} from './timers.js';
 
@@ -63,7 +67,7 @@
 /** Registers all components as singletons, created when first resolved. */
 export function composeFleetNode(ports: FleetPorts): DependencyContainer {
   const container = root.createChildContainer();
-  const registerSingleton = registerOnceIn(container);
+  const registerSingleton = createSingletonRegistrar(container);
   container.register(FLEET_TOKENS.ports, {useValue: ports});
   registerSingleton(
     FLEET_TOKENS.writer,
@@ -110,10 +114,10 @@
     {
       clock: steadyClock,
       random: Math.random,
-      onClockGain,
+      onSuspension,
       every,
       store,
-      askPeer: (address, query, done) =>
+      queryPeer: (address, query, done) =>
         channels.exchange(address, query, done),
     },
     readConfiguration,
@@ -136,7 +140,7 @@
   dependencies: DependencyContainer,
 ): Subscribers<PeerNews> {
   const host = dependencies.resolve(FLEET_TOKENS.host);
-  return new Subscribers<PeerNews>((count) => host.followersChanged(count));
+  return new Subscribers<PeerNews>((count) => host.setFollowerCount(count));
 }
 
 function createRemoteExchanges(
@@ -162,22 +166,22 @@
     onNews: (news, answer) => {
       switch (news.kind) {
         case 'version':
-          host.peerVersionHeard(news.address, news.version);
+          host.peerVersionReported(news.address, news.version);
           break;
         case 'standing':
-          host.standingHeard(news.upstream, news.hint);
+          host.standingReported(news.upstream, news.hint);
           break;
         case 'report':
         case 'boxes':
         case 'records-lost':
         case 'store-restored':
-          host.newsTold(news);
+          host.updateReceived(news);
           break;
         case 'limit-request':
-          answer(host.limits.requested(news));
+          answer(host.limits.handleRequest(news));
           break;
         case 'limit-reply':
-          host.limits.replied(news);
+          host.limits.replyReceived(news);
           break;
         case 'follow':
           // Handled by the stream server, the only end that receives it.
@@ -210,7 +214,7 @@
     brain: host.guard,
     pools: dependencies.resolve(FLEET_TOKENS.pools),
     protocol: upstreamProtocol,
-    onNodeAction: (action) => host.guardActed(action),
+    onNodeAction: (action) => host.handleGuardAction(action),
     onEnded: (record) => {
       log.guardCall(record);
       const {outcome, ranMilliseconds, head, doubtReason} = record;
@@ -273,7 +277,7 @@
   return (
     outcome === 'not-run' ||
     outcome === 'unknown' ||
-    status >= FIRST_FAILED_STATUS
+    status >= FIRST_SERVER_ERROR_STATUS
   );
 }
 
--- a/packages/node/src/process/fleetEnvironment.ts
+++ b/packages/node/src/process/fleetEnvironment.ts
@@ -12,7 +12,7 @@
 import type {LimitMessage} from '@lockpin/limits';
 import type {LoadHint} from '@lockpin/routing';
 import type {Clock, RandomSource, Resource} from '@lockpin/types';
-import type {GainListener} from '@lockpin/utils';
+import type {SuspensionListener} from '@lockpin/utils';
 
 /** External dependencies of the host. */
 export interface FleetEnvironment {
@@ -22,11 +22,11 @@
    * Subscribes to suspensions of the machine; returns a function that
    * unsubscribes.
    */
-  readonly onClockGain: (listener: GainListener) => () => void;
+  readonly onSuspension: (listener: SuspensionListener) => () => void;
   /** Calls a function periodically; returns a function that stops it. */
   readonly every: (milliseconds: number, run: () => void) => () => void;
   readonly store: RecordStore;
-  readonly askPeer: (
+  readonly queryPeer: (
     address: string,
     query: PeerQuery,
     done: (reply: PeerQueryReply | undefined) => void,
@@ -41,17 +41,17 @@
   /** Replaces the set of nodes to follow. */
   readonly onFollow: (peers: FollowedPeers) => void;
   /** Sends an update to the nodes that follow this one. */
-  readonly onFollowerNews: (news: FleetUpdate) => void;
+  readonly onFollowerUpdate: (news: FleetUpdate) => void;
   /** Sends a rate limit message to another box. */
   readonly onLimitMessage: (box: string, message: LimitMessage) => void;
   /** Called if a box did not answer; the connection to it may be dead. */
-  readonly onSilence: (box: string) => void;
+  readonly onUnresponsive: (box: string) => void;
   /** Called if the guard of this node changed the state of its upstream. */
   readonly onStanding: (upstream: string, hint: LoadHint) => void;
   /** Sends an update to the nodes whose entries call this node. */
-  readonly onEntryNews: (news: FleetUpdate) => void;
+  readonly onEntryUpdate: (news: FleetUpdate) => void;
   /** Sends an update to the nodes at these addresses. */
-  readonly onNodeNews: (
+  readonly onNodeUpdate: (
     addresses: readonly string[],
     news: FleetUpdate,
   ) => void;
--- a/packages/node/src/process/fleetHost.ts
+++ b/packages/node/src/process/fleetHost.ts
@@ -19,17 +19,20 @@
 import type {GuardNodeAction} from '../request/guardService.js';
 import {CustomerLimits} from './customerLimits.js';
 import type {DecisionLog} from './decisionLog.js';
-import {createCallBrains, createFleetBrain} from './fleetBrains.js';
+import {
+  createCallStateMachines,
+  createFleetStateMachine,
+} from './fleetStateMachines.js';
 import {performFleetAction} from './fleetActions.js';
-import type {ConfigurationChange, FleetActionTargets} from './fleetActions.js';
+import type {ConfigurationChange, FleetActionHandlers} from './fleetActions.js';
 import type {FleetEnvironment, FleetHostListeners} from './fleetEnvironment.js';
 import type {FleetNodeSettings} from './fleetPorts.js';
 import {FleetKeys} from './fleetKeys.js';
 import {FleetStoreCalls} from './fleetStoreCalls.js';
-import {logGuardNews} from './guardNewsLog.js';
-import {tellOfOwnUpstream} from './ownUpstreamNews.js';
+import {logGuardAction} from './logGuardAction.js';
+import {configureOwnUpstream} from './configureOwnUpstream.js';
 import type {PeerPlace} from './peerTraffic.js';
-import {SuspensionReview} from './suspensionReview.js';
+import {SuspensionMonitor} from './suspensionMonitor.js';
 
 /**
  * Interval between ticks. The guard itself ticks more often while calls are in
@@ -46,12 +49,12 @@
   readonly limits: CustomerLimits;
   readonly keys: FleetKeys;
   private readonly store: FleetStoreCalls;
-  private readonly actionHandlers: FleetActionTargets;
+  private readonly actionHandlers: FleetActionHandlers;
   private currentRouting: FleetRouting | undefined;
   private listeners: FleetHostListeners | undefined;
   private stopTicks: (() => void) | undefined;
   private unsubscribeFromSuspensions: (() => void) | undefined;
-  private readonly suspensionMonitor: SuspensionReview;
+  private readonly suspensionMonitor: SuspensionMonitor;
   private isFinishing = false;
   /** Number of upstream announcements refused since the start. */
   refusedAnnouncements = 0;
@@ -65,12 +68,12 @@
     readConfiguration: ReadConfiguration,
     private readonly log: DecisionLog,
   ) {
-    this.suspensionMonitor = new SuspensionReview(log);
-    this.fleet = createFleetBrain(currentSettings, readConfiguration);
+    this.suspensionMonitor = new SuspensionMonitor(log);
+    this.fleet = createFleetStateMachine(currentSettings, readConfiguration);
     this.store = new FleetStoreCalls(environment.store, log, (event) =>
       this.handle(event),
     );
-    const {guard, entry} = createCallBrains({
+    const {guard, entry} = createCallStateMachines({
       fleet: this.fleet,
       incarnation,
       startedAt: environment.clock(),
@@ -84,19 +87,19 @@
       fleet: this.fleet,
       policy: () => this.currentSettings.keys,
       customers: () => this.currentRouting?.customers,
-      askReader: () => this.queryReader(),
+      queryReader: () => this.queryReader(),
     });
     this.actionHandlers = {
       store: this.store,
       log,
       listeners: () => this.listeners,
-      askPeer: (address, query) => this.queryPeer(address, query),
+      queryPeer: (address, query) => this.queryPeer(address, query),
       configurationChanged: (action) => this.configurationChanged(action),
       announcementRefused: () => {
         this.refusedAnnouncements += 1;
       },
       upstreamChanged: (upstream) =>
-        tellOfOwnUpstream(
+        configureOwnUpstream(
           {settings: this.currentSettings, log, listeners: this.listeners},
           upstream,
         ),
@@ -114,7 +117,7 @@
       limitOf: (name) => this.currentRouting?.customers.named(name)?.limit,
       fleet: () => ({boxes: directory.size, candidates: directory.working}),
       send: (to, message) => this.listeners?.onLimitMessage(to, message),
-      onSilence: (to) => this.listeners?.onSilence(to),
+      onUnresponsive: (to) => this.listeners?.onUnresponsive(to),
     });
   }
 
@@ -140,7 +143,7 @@
   }
 
   /** Refuses new calls from now on; calls in flight are still served. */
-  finish(): void {
+  refuseNewCalls(): void {
     this.isFinishing = true;
   }
 
@@ -167,11 +170,11 @@
 
   start(listeners: FleetHostListeners): void {
     this.listeners = listeners;
-    this.unsubscribeFromSuspensions = this.environment.onClockGain(
+    this.unsubscribeFromSuspensions = this.environment.onSuspension(
       (milliseconds) => this.clockGained(milliseconds),
     );
     this.stopTicks = this.environment.every(TICK_MILLISECONDS, () => {
-      this.suspensionMonitor.review(() => listeners.onSuspended());
+      this.suspensionMonitor.handleSuspension(() => listeners.onSuspended());
       this.tick();
       // Token pools start before the first limit is declared, so that it is
       // enforced at once.
@@ -187,7 +190,7 @@
    * Called while the clock is read, before any reading includes the suspension.
    */
   private clockGained(milliseconds: number): void {
-    this.suspensionMonitor.gained(milliseconds);
+    this.suspensionMonitor.addSuspension(milliseconds);
     this.limits.clockGained(milliseconds);
     this.listeners?.onGuardEvent({kind: 'clock-gained', milliseconds});
   }
@@ -218,7 +221,7 @@
    * Applies an announcement of the upstream on this box, or returns why it is
    * refused.
    */
-  announced(
+  handleAnnouncement(
     announcement: UpstreamAnnouncement,
   ): Result<undefined, AnnouncementProblem> {
     const actions = this.handle({kind: 'upstream-announced', announcement});
@@ -229,7 +232,7 @@
   }
 
   /** Sets the number of nodes that follow this one. */
-  followersChanged(followers: number): void {
+  setFollowerCount(followers: number): void {
     const hasGrown = followers > this.followers;
     this.followers = followers;
     if (hasGrown) {
@@ -238,12 +241,12 @@
   }
 
   /** Handles an update from a followed node. */
-  newsTold(news: FleetUpdate): void {
+  updateReceived(news: FleetUpdate): void {
     this.handle({kind: 'update-received', news});
   }
 
   /** Handles a peer's report of the version in force there. */
-  peerVersionHeard(address: string, version: number): void {
+  peerVersionReported(address: string, version: number): void {
     this.handle({kind: 'peer-version-reported', address, version});
   }
 
@@ -251,14 +254,14 @@
    * Handles actions of the guard that concern the node; permits are not used
    * here.
    */
-  guardActed(action: GuardNodeAction): void {
-    logGuardNews(this.log, action);
+  handleGuardAction(action: GuardNodeAction): void {
+    logGuardAction(this.log, action);
     if (action.kind === 'upstream-crashed') {
       this.handle({kind: 'runs-crashed', digests: action.digests});
     }
     if (action.kind === 'standing') {
       const {upstream, hint} = action;
-      this.standingHeard(upstream, hint);
+      this.standingReported(upstream, hint);
       this.listeners?.onStanding(upstream, hint);
     }
   }
@@ -274,7 +277,7 @@
   }
 
   /** Handles a load hint from the guard of an upstream. */
-  standingHeard(upstream: string, hint: LoadHint): void {
+  standingReported(upstream: string, hint: LoadHint): void {
     this.entry.loads.hintReceived(upstream, this.environment.clock(), hint);
   }
 
@@ -288,7 +291,7 @@
   }
 
   private queryPeer(address: string, query: PeerQuery): void {
-    this.environment.askPeer(address, query, (reply) => {
+    this.environment.queryPeer(address, query, (reply) => {
       this.handle({kind: 'peer-replied', address, reply});
       this.keys.answered(reply !== undefined);
     });
--- a/packages/node/src/process/fleetKeys.ts
+++ b/packages/node/src/process/fleetKeys.ts
@@ -23,7 +23,7 @@
    * Queries a reader for a newer configuration; returns false if none is
    * reachable.
    */
-  readonly askReader: () => boolean;
+  readonly queryReader: () => boolean;
 }
 
 /** Authorizes callers by the keys of the configuration in force. */
@@ -31,7 +31,7 @@
   private readonly confirmation: KeyConfirmation;
 
   constructor(private readonly context: FleetKeysContext) {
-    this.confirmation = new KeyConfirmation(context.askReader);
+    this.confirmation = new KeyConfirmation(context.queryReader);
   }
 
   /**
--- a/packages/node/src/process/fleetOperators.ts
+++ b/packages/node/src/process/fleetOperators.ts
@@ -4,7 +4,7 @@
 import type {DependencyContainer} from 'tsyringe';
 import {steadyClock} from '@lockpin/utils';
 import type {RequestHandler} from '../connection/httpServer.js';
-import {quarantineApi} from '../operators/quarantineApi.js';
+import {createQuarantineApi} from '../operators/quarantineApi.js';
 import {FLEET_TOKENS} from './fleetComposition.js';
 
 /** Path prefixes of the operators' API; all other paths serve the metrics. */
@@ -17,10 +17,10 @@
   const host = container.resolve(FLEET_TOKENS.host);
   const {operatorTokenHash = ''} = container.resolve(FLEET_TOKENS.ports);
   const metrics = metricsHandler(container);
-  const api = quarantineApi({
+  const api = createQuarantineApi({
     tokenHash: operatorTokenHash,
     version: () => host.fleet.version,
-    all: () => host.fleet.suspects.quarantined(steadyClock()),
+    quarantinedRequests: () => host.fleet.suspects.quarantined(steadyClock()),
     lift: (digest) => host.liftQuarantine(digest),
   });
   return (request, response) => {
--- a/packages/node/src/process/fleetPorts.ts
+++ b/packages/node/src/process/fleetPorts.ts
@@ -58,7 +58,7 @@
 }
 
 /** Information about the fleet for the caller protocol. */
-export interface FleetKnowledge {
+export interface FleetView {
   /** Returns undefined before any configuration is known. */
   readonly routing: () => FleetRouting | undefined;
   readonly settings: () => FleetNodeSettings;
@@ -78,7 +78,7 @@
   readonly settings: FleetNodeSettings;
   readonly store: RecordStore;
   readonly readConfiguration: ReadConfiguration;
-  readonly callerProtocol: (fleet: FleetKnowledge) => CallerProtocol;
+  readonly callerProtocol: (fleet: FleetView) => CallerProtocol;
   readonly upstreamProtocol: UpstreamProtocol;
   /**
    * salt:hash of the operators' token; absent or empty to reject all their
--- a/packages/node/src/process/fleetRetryBudget.ts
+++ b/packages/node/src/process/fleetRetryBudget.ts
@@ -20,7 +20,7 @@
 const RETRY_SHARE = 0.85;
 
 /** Dependencies of a guard's retry budget. */
-export interface RetryFleet {
+export interface RetryBudgetContext {
   /** Start of this process, by its own clock. */
   readonly startedAt: number;
   /** Whether no earlier process of this box can have used retries. */
@@ -35,7 +35,9 @@
 }
 
 /** Creates the retry budget of one service at one guard. */
-export function fleetRetryBudget(fleet: RetryFleet): WindowedRetryBudget {
+export function fleetRetryBudget(
+  fleet: RetryBudgetContext,
+): WindowedRetryBudget {
   return new WindowedRetryBudget((now) => {
     const {ratio, windowMilliseconds, extra} = fleet.retries();
     const mayHaveUsedRetries =
--- a/packages/node/src/process/fleetBrains.ts
+++ b/packages/node/src/process/fleetStateMachines.ts
@@ -14,7 +14,7 @@
 import {mechanismSwitch} from './mechanisms.js';
 
 /** Dependencies of the state machines of calls. */
-export interface CallBrainsContext {
+export interface CallStateMachinesContext {
   readonly fleet: FleetStateMachine;
   /** Identity of this process. */
   readonly incarnation: string;
@@ -24,13 +24,13 @@
 }
 
 /** The state machines of both ends of a call on one box. */
-export interface CallBrains {
+export interface CallStateMachines {
   readonly guard: GuardStateMachine;
   readonly entry: EntryStateMachine;
 }
 
 /** Creates the state machine that tracks the fleet. */
-export function createFleetBrain(
+export function createFleetStateMachine(
   settings: FleetNodeSettings,
   readConfiguration: ReadConfiguration,
 ): FleetStateMachine {
@@ -50,7 +50,9 @@
  * Creates the state machines of calls; the guard reads the delayed calls of the
  * entry.
  */
-export function createCallBrains(context: CallBrainsContext): CallBrains {
+export function createCallStateMachines(
+  context: CallStateMachinesContext,
+): CallStateMachines {
   const {box, dataCentre, switchedOff} = context.settings();
   const isOn = mechanismSwitch(switchedOff);
   const quarantinedFor = isOn('quarantine')
@@ -67,7 +69,7 @@
 }
 
 function createGuard(
-  {fleet, incarnation, startedAt, settings}: CallBrainsContext,
+  {fleet, incarnation, startedAt, settings}: CallStateMachinesContext,
   entry: EntryStateMachine,
   quarantinedFor: EntrySettings['quarantinedFor'],
 ): GuardStateMachine {
--- a/packages/node/src/process/guardNewsLog.ts
+++ b/packages/node/src/process/logGuardAction.ts
@@ -5,7 +5,10 @@
 import type {DecisionLog} from './decisionLog.js';
 
 /** Logs a guard action of a kind that is logged; ignores all others. */
-export function logGuardNews(log: DecisionLog, action: GuardNodeAction): void {
+export function logGuardAction(
+  log: DecisionLog,
+  action: GuardNodeAction,
+): void {
   if (action.kind === 'upstream-crashed') {
     const {upstream, digests} = action;
     log.event(action.kind, {subject: upstream, requests: digests});
--- a/packages/node/src/process/lineAllowance.ts
+++ b/packages/node/src/process/logRateLimiter.ts
@@ -2,7 +2,7 @@
 /** Rate limit of log lines, as a token bucket. */
 
 /** A token bucket that refills at a constant rate up to a limit. */
-export class LineAllowance {
+export class LogRateLimiter {
   private tokens: number;
   private droppedCount = 0;
 
@@ -39,7 +39,7 @@
   }
 
   /** Returns and resets the number of dropped lines. */
-  takeLeftOut(): number {
+  takeDroppedCount(): number {
     const count = this.droppedCount;
     this.droppedCount = 0;
     return count;
--- a/packages/node/src/process/mechanisms.ts
+++ b/packages/node/src/process/mechanisms.ts
@@ -34,7 +34,7 @@
  * Parses a comma-separated list of mechanisms; fails with the first unknown
  * name.
  */
-export function readMechanisms(
+export function parseMechanisms(
   text: string,
 ): Result<readonly Mechanism[], string> {
   const names = text
--- a/packages/node/src/process/nodeHost.ts
+++ b/packages/node/src/process/nodeHost.ts
@@ -124,12 +124,12 @@
     });
   }
 
-  watchersCounted(count: number): void {
+  setWatcherCount(count: number): void {
     this.handle({kind: 'watchers-counted', count});
   }
 
   /** Handles the guard's actions that do not belong to a single exchange. */
-  guardActed(action: GuardNodeAction): void {
+  handleGuardAction(action: GuardNodeAction): void {
     if (action.kind === 'standing') {
       return;
     }
--- a/packages/node/src/process/runFleetNode.ts
+++ b/packages/node/src/process/runFleetNode.ts
@@ -9,8 +9,8 @@
 import {steadyClock} from '@lockpin/utils';
 import {startHttpServer} from '../connection/httpServer.js';
 import type {RequestHandler} from '../connection/httpServer.js';
-import {finishCalls} from './finishCalls.js';
-import type {StopResult} from './finishCalls.js';
+import {drainCalls} from './drainCalls.js';
+import type {StopResult} from './drainCalls.js';
 import {FLEET_TOKENS, versionNews} from './fleetComposition.js';
 import {fleetOperatorHandler} from './fleetOperators.js';
 import {every} from './timers.js';
@@ -90,17 +90,17 @@
       applyLimits(container, callers);
       const news = versionNews(host);
       remote.broadcastNews(news);
-      subscribers.tell(news);
+      subscribers.notify(news);
     },
     onFollow: (peers) => remote.follow(peers),
-    onFollowerNews: (news) => followers.tell(news),
+    onFollowerUpdate: (news) => followers.notify(news),
     onLimitMessage: (box, message) =>
       remote.sendNews(host.peerAddress(box), message),
-    onSilence: (box) => remote.countUnansweredOffer(host.peerAddress(box)),
+    onUnresponsive: (box) => remote.countUnansweredOffer(host.peerAddress(box)),
     onStanding: (upstream, hint) =>
-      subscribers.tell({kind: 'standing', upstream, hint}),
-    onEntryNews: (news) => subscribers.tell(news),
-    onNodeNews: (addresses, news) =>
+      subscribers.notify({kind: 'standing', upstream, hint}),
+    onEntryUpdate: (news) => subscribers.notify(news),
+    onNodeUpdate: (addresses, news) =>
       addresses.forEach((address) => remote.sendNews(address, news)),
     onSuspended: () => {
       entry.restartDeadlineTimers();
@@ -185,10 +185,10 @@
   await delay(stopLimitMilliseconds * SERVE_SHARE - LEAVE_DELAY_MILLISECONDS);
   stopping.closesConnections = true;
   // A connection without a request yet counts as busy and stays open.
-  host.finish();
+  host.refuseNewCalls();
   callers.close();
   callers.closeIdleConnections();
-  const result = await finishCalls([guard, entry], steadyClock, limit);
+  const result = await drainCalls([guard, entry], steadyClock, limit);
   host.stop();
   if (result === 'limit-reached') {
     entry.endAllCalls();
--- a/packages/node/src/process/runNode.ts
+++ b/packages/node/src/process/runNode.ts
@@ -9,8 +9,8 @@
 import {isUsable} from '@lockpin/membership';
 import {startHttpServer} from '../connection/httpServer.js';
 import {TOKENS} from './composition.js';
-import {finishCalls} from './finishCalls.js';
-import type {StopResult} from './finishCalls.js';
+import {drainCalls} from './drainCalls.js';
+import type {StopResult} from './drainCalls.js';
 
 /** A running node. */
 export interface RunningNode {
@@ -51,7 +51,7 @@
   host.start({
     onGuardEvent: (event) => guard.handle(event),
     onUpstreams: (upstreams) => pools.configure(upstreams),
-    onFolded: (folds) => watches.folded(folds),
+    onFolded: (folds) => watches.sendChanges(folds),
     onStateReplaced: () =>
       watches.expire(host.control.replica.history.oldestResumable),
     onInForce: () => undefined,
@@ -88,7 +88,7 @@
   const limit = Date.now() + settings.stopLimitMilliseconds;
   host.leave();
   await delay(ANNOUNCE_MILLISECONDS);
-  const result = await finishCalls([guard, entry], Date.now, limit);
+  const result = await drainCalls([guard, entry], Date.now, limit);
   host.stop();
   container.resolve(TOKENS.watches).stop();
   callers.close();
--- a/packages/node/src/process/registerOnce.ts
+++ b/packages/node/src/process/singletonRegistrar.ts
@@ -7,13 +7,15 @@
 import type {DependencyContainer, InjectionToken} from 'tsyringe';
 
 /** Registers a singleton with a container. */
-export type RegisterOnce = <T>(
+export type RegisterSingleton = <T>(
   token: InjectionToken<T>,
   create: (dependencies: DependencyContainer) => T,
 ) => void;
 
 /** Returns a function that registers singletons with a container. */
-export function registerOnceIn(container: DependencyContainer): RegisterOnce {
+export function createSingletonRegistrar(
+  container: DependencyContainer,
+): RegisterSingleton {
   return (token, create) => {
     container.register(token, {useFactory: instanceCachingFactory(create)});
   };
--- a/packages/node/src/process/subscribers.ts
+++ b/packages/node/src/process/subscribers.ts
@@ -20,7 +20,7 @@
     };
   }
 
-  tell(message: T): void {
+  notify(message: T): void {
     this.listeners.forEach((listener) => listener(message));
   }
 }
--- a/packages/node/src/process/suspensionReview.ts
+++ b/packages/node/src/process/suspensionMonitor.ts
@@ -7,14 +7,14 @@
  * Timers do not include suspensions, but the clock does, so deadlines may have
  * passed.
  */
-export class SuspensionReview {
+export class SuspensionMonitor {
   /** Suspension since the last check of calls in flight, in milliseconds. */
   private suspended = 0;
 
   constructor(private readonly log: DecisionLog) {}
 
   /** Adds a suspension that the clock now includes. */
-  gained(milliseconds: number): void {
+  addSuspension(milliseconds: number): void {
     this.suspended += milliseconds;
   }
 
@@ -22,7 +22,7 @@
    * Logs a suspension and calls back if calls may be overdue without a timer
    * firing.
    */
-  review(onSuspended: () => void): void {
+  handleSuspension(onSuspended: () => void): void {
     if (this.suspended > 0) {
       const milliseconds = Math.round(this.suspended);
       this.log.event('machine-suspended', {milliseconds});
--- a/packages/node/src/request/attemptRunner.ts
+++ b/packages/node/src/request/attemptRunner.ts
@@ -4,7 +4,7 @@
  */
 
 import type {Attempt, EntryEvent} from '@lockpin/brain';
-import {FIRST_FAILED_STATUS} from '@lockpin/utils';
+import {FIRST_SERVER_ERROR_STATUS} from '@lockpin/utils';
 import type {CallerExchange} from './callerExchange.js';
 import type {EntryServiceDependencies} from './entryServiceDependencies.js';
 import type {ExchangeHandlers} from './exchange.js';
@@ -267,7 +267,7 @@
     }
     const {status, hint, ranMilliseconds} = head;
     overdue.answer = head;
-    if (status >= FIRST_FAILED_STATUS) {
+    if (status >= FIRST_SERVER_ERROR_STATUS) {
       exchange.overdue = undefined;
     }
     this.dependencies.handleEvent({
--- a/packages/node/src/request/guardService.ts
+++ b/packages/node/src/request/guardService.ts
@@ -214,7 +214,7 @@
     upstream,
     incarnation,
   }: GuardAction & {readonly kind: 'check-upstream'}): void {
-    this.dependencies.pools.lookAt(upstream, (presence) =>
+    this.dependencies.pools.checkAddress(upstream, (presence) =>
       this.handle({
         kind: 'upstream-checked',
         upstream,
--- a/packages/node/src/request/upstreamDispatch.ts
+++ b/packages/node/src/request/upstreamDispatch.ts
@@ -40,7 +40,9 @@
     const {head, deadline} = exchange;
     const {pools, clock} = this.dependencies;
     const isSingle = head.repetition === 'at-most-once';
-    const pool = isSingle ? pools.single(upstream) : pools.get(upstream);
+    const pool = isSingle
+      ? pools.createSingleUseClient(upstream)
+      : pools.get(upstream);
     if (pool === undefined) {
       this.dependencies.handleEvent({
         kind: 'upstream-failed',
--- a/packages/node/src/version/watchHub.ts
+++ b/packages/node/src/version/watchHub.ts
@@ -6,7 +6,7 @@
 
 import type {ServerResponse} from 'node:http';
 import type {ChangeEffect, FoldResult} from '@lockpin/configuration';
-import {isFleetWide, maySee, visible} from '../operators/access.js';
+import {isFleetWide, mayRead, withoutSecrets} from '../operators/access.js';
 import type {Operator} from '../operators/access.js';
 
 /** Number of nodes that have a version in force, and of all usable nodes. */
@@ -67,7 +67,7 @@
   }
 
   /** Sends new changes to all watchers. */
-  folded(folds: readonly FoldResult[]): void {
+  sendChanges(folds: readonly FoldResult[]): void {
     for (const watcher of this.watchers) {
       folds.forEach((fold) => this.sendChange(watcher, fold));
     }
@@ -117,7 +117,7 @@
   private sendChange(watcher: Watcher, fold: FoldResult): void {
     const {outcome, changeId, author} = fold;
     const effects = fold.effects.filter(({kind, name}) =>
-      maySee(watcher.operator, kind, name),
+      mayRead(watcher.operator, kind, name),
     );
     if (outcome.kind !== 'accepted' || effects.length === 0) {
       return;
@@ -172,8 +172,8 @@
   return {
     kind,
     name,
-    before: before && visible(before),
-    after: after && visible(after),
+    before: before && withoutSecrets(before),
+    after: after && withoutSecrets(after),
   };
 }
 
--- a/packages/routing/src/__tests__/retriesThroughGaps.test.ts
+++ b/packages/routing/src/__tests__/retriesThroughGaps.test.ts
@@ -8,7 +8,7 @@
 
 import fc from 'fast-check';
 import {describe, expect, it} from 'vitest';
-import {CountingClock} from '@lockpin/utils';
+import {SuspendAwareClock} from '@lockpin/utils';
 import {WindowedRetryBudget} from '../windowedRetryBudget.js';
 
 const WINDOW = 5000;
@@ -22,7 +22,7 @@
   private timeOfDay = 1_700_000_000_000;
   private readonly calls: number[] = [];
   private readonly retries: number[] = [];
-  private readonly clock = new CountingClock({
+  private readonly clock = new SuspendAwareClock({
     steady: () => this.steady,
     timeOfDay: () => this.timeOfDay,
     sinceBoot: () => this.now,
@@ -34,7 +34,7 @@
   }));
 
   constructor() {
-    this.clock.onGain((gain) => this.budget.clockGained(gain));
+    this.clock.onSuspension((gain) => this.budget.clockGained(gain));
   }
 
   runs(milliseconds: number): void {
--- a/packages/tools/src/__tests__/quarantineCommand.test.ts
+++ b/packages/tools/src/__tests__/quarantineCommand.test.ts
@@ -6,7 +6,7 @@
 import {afterEach, beforeEach, describe, expect, it} from 'vitest';
 import {EXIT_CODES, run} from '@lockpin/cli';
 import type {ExitCode} from '@lockpin/cli';
-import {quarantineApi, startHttpServer} from '@lockpin/node';
+import {createQuarantineApi, startHttpServer} from '@lockpin/node';
 import {saltedHash} from '@lockpin/utils';
 
 const SALT = 'ffeeddccbbaa99887766554433221100';
@@ -22,10 +22,10 @@
   written = '';
   server = await startHttpServer(
     '127.0.0.1:0',
-    quarantineApi({
+    createQuarantineApi({
       tokenHash: `${SALT}:${saltedHash(SALT, SECRET)}`,
       version: () => 7,
-      all: () =>
+      quarantinedRequests: () =>
         digests.map((digest) => ({
           digest,
           services: ['shop'],
--- a/packages/tools/src/measure/answerTally.ts
+++ b/packages/tools/src/measure/answerTally.ts
@@ -1,7 +1,7 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
 /** Counts the answers that callers got, by customer. */
 
-import {FIRST_FAILED_STATUS} from '@lockpin/utils';
+import {FIRST_SERVER_ERROR_STATUS} from '@lockpin/utils';
 
 interface OpenCall {
   readonly customer: string;
@@ -35,7 +35,7 @@
   passed(now: number, callId: string): void {
     const call = this.open.get(callId);
     this.open.delete(callId);
-    if (call === undefined || call.status >= FIRST_FAILED_STATUS) {
+    if (call === undefined || call.status >= FIRST_SERVER_ERROR_STATUS) {
       return;
     }
     const times = this.answeredWell.get(call.customer) ?? [];
--- a/packages/utils/src/__tests__/countingClock.test.ts
+++ b/packages/utils/src/__tests__/countingClock.test.ts
@@ -4,15 +4,15 @@
 import fc from 'fast-check';
 import {describe, expect, it} from 'vitest';
 import {
-  CountingClock,
-  SHORTEST_SUSPENSION_MILLISECONDS,
-} from '../countingClock.js';
+  SuspendAwareClock,
+  MINIMUM_SUSPENSION_MILLISECONDS,
+} from '../suspendAwareClock.js';
 
 class Machine {
   steady = 50;
   timeOfDay = 1_700_000_000_000;
   sinceBoot = 7000;
-  readonly clock = new CountingClock({
+  readonly clock = new SuspendAwareClock({
     steady: () => this.steady,
     timeOfDay: () => this.timeOfDay,
     sinceBoot: () => this.sinceBoot,
@@ -47,7 +47,7 @@
     (suspended) => {
       const machine = new Machine();
       const suspensions: number[] = [];
-      const unsubscribe = machine.clock.onGain((gain) =>
+      const unsubscribe = machine.clock.onSuspension((gain) =>
         suspensions.push(gain),
       );
       const elapsed = machine.elapsed(() => {
@@ -131,7 +131,7 @@
 
   it('ignores gaps up to the shortest suspension', () => {
     const machine = new Machine();
-    const gap = SHORTEST_SUSPENSION_MILLISECONDS;
+    const gap = MINIMUM_SUSPENSION_MILLISECONDS;
     const elapsed = (suspended: number) =>
       machine.elapsed(() => {
         machine.suspend(suspended);
--- a/packages/utils/src/index.ts
+++ b/packages/utils/src/index.ts
@@ -1,7 +1,7 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
 export * from './addresses.js';
 export * from './canonicalJson.js';
-export * from './countingClock.js';
+export * from './suspendAwareClock.js';
 export * from './hashing.js';
 export * from './hybridClock.js';
 export * from './incarnations.js';
--- a/packages/utils/src/statuses.ts
+++ b/packages/utils/src/statuses.ts
@@ -2,4 +2,4 @@
 /** HTTP status codes. */
 
 /** Status codes from here on mean that the call failed at its upstream. */
-export const FIRST_FAILED_STATUS = 500;
+export const FIRST_SERVER_ERROR_STATUS = 500;
--- a/packages/utils/src/steadyClock.ts
+++ b/packages/utils/src/steadyClock.ts
@@ -2,10 +2,10 @@
 /** The monotonic clock of this process, for durations and deadlines. */
 
 import {uptime} from 'node:os';
-import {CountingClock} from './countingClock.js';
-import type {GainListener} from './countingClock.js';
+import {SuspendAwareClock} from './suspendAwareClock.js';
+import type {SuspensionListener} from './suspendAwareClock.js';
 
-const CLOCK = new CountingClock({
+const CLOCK = new SuspendAwareClock({
   steady: () => performance.now(),
   timeOfDay: () => Date.now(),
   sinceBoot: () => uptime() * 1000,
@@ -24,6 +24,6 @@
  * Subscribes to suspensions of this machine; returns a function that
  * unsubscribes.
  */
-export function onClockGain(listener: GainListener): () => void {
-  return CLOCK.onGain(listener);
+export function onSuspension(listener: SuspensionListener): () => void {
+  return CLOCK.onSuspension(listener);
 }
--- a/packages/utils/src/countingClock.ts
+++ b/packages/utils/src/suspendAwareClock.ts
@@ -21,7 +21,7 @@
  * boxes do not depend on shorter times, and a clock that is being slewed gains
  * half a millisecond per second.
  */
-export const SHORTEST_SUSPENSION_MILLISECONDS = 250;
+export const MINIMUM_SUSPENSION_MILLISECONDS = 250;
 
 /**
  * A longer gap counts only as far as the time since boot confirms it. A shorter
@@ -30,7 +30,7 @@
  * minutes, and others would reject this node's own records, which they accept
  * up to 5 minutes ahead of time.
  */
-export const LONGEST_UNCONFIRMED_MILLISECONDS = 120_000;
+export const MAXIMUM_UNCONFIRMED_MILLISECONDS = 120_000;
 
 /**
  * Time between checks of the time of day. A check takes half as long as a
@@ -40,7 +40,7 @@
 const CHECK_INTERVAL_MILLISECONDS = 1;
 
 /** Receives the length of a suspension that the clock includes from now on. */
-export type GainListener = (milliseconds: number) => void;
+export type SuspensionListener = (milliseconds: number) => void;
 
 /**
  * Node.js has no clock that counts suspension: os.uptime() does, but comes from
@@ -54,13 +54,13 @@
  * subscribes to `onSuspension`. Setting the time of day backwards has no
  * effect.
  */
-export class CountingClock {
+export class SuspendAwareClock {
   private readonly origin: number;
   private timeOfDayOffset: number;
   private sinceBootOffset: number;
   private checkedAt = Number.NEGATIVE_INFINITY;
   private suspended = 0;
-  private readonly listeners = new Set<GainListener>();
+  private readonly listeners = new Set<SuspensionListener>();
 
   constructor(private readonly sources: ClockSources) {
     const steady = sources.steady();
@@ -73,7 +73,7 @@
    * Calls the listener for each suspension, before any reading includes it;
    * returns a function that unsubscribes.
    */
-  onGain(listener: GainListener): () => void {
+  onSuspension(listener: SuspensionListener): () => void {
     this.listeners.add(listener);
     return () => this.listeners.delete(listener);
   }
@@ -95,7 +95,7 @@
     const timeOfDayOffset = this.sources.timeOfDay() - steady;
     const gap = timeOfDayOffset - this.timeOfDayOffset;
     this.timeOfDayOffset = timeOfDayOffset;
-    if (gap > SHORTEST_SUSPENSION_MILLISECONDS) {
+    if (gap > MINIMUM_SUSPENSION_MILLISECONDS) {
       this.countGap(gap, steady);
     }
   }
@@ -104,8 +104,8 @@
     const sinceBootOffset = this.sources.sinceBoot() - steady;
     const confirmed = sinceBootOffset - this.sinceBootOffset;
     this.sinceBootOffset = sinceBootOffset;
-    const suspension = gap > LONGEST_UNCONFIRMED_MILLISECONDS ? confirmed : gap;
-    if (suspension > SHORTEST_SUSPENSION_MILLISECONDS) {
+    const suspension = gap > MAXIMUM_UNCONFIRMED_MILLISECONDS ? confirmed : gap;
+    if (suspension > MINIMUM_SUSPENSION_MILLISECONDS) {
       this.suspended += suspension;
       this.listeners.forEach((listener) => listener(suspension));
     }
