--- a/packages/brain/src/__tests__/__fixtures__/callWorld.ts
+++ b/packages/brain/src/__tests__/__fixtures__/callSimulation.ts
@@ -51,11 +51,11 @@
 }
 
 /** The result that the caller received for one request. */
-export interface Told {
+export interface RequestResult {
   readonly request: string;
   readonly outcome: 'answered' | RefusalOutcome | 'cut';
   /** The execution that produced the answer. */
-  readonly answerTo?: string;
+  readonly executionId?: string;
 }
 
 interface ScheduledEvent {
@@ -79,8 +79,8 @@
 const MAXIMUM_REQUESTS = 3;
 
 /** Runs the calls of one caller and injects faults before given steps. */
-export class CallWorld {
-  readonly told: Told[] = [];
+export class CallSimulation {
+  readonly results: RequestResult[] = [];
   /** Attempts in the order in which upstreams ran them. */
   readonly executions: string[] = [];
   steps = 0;
@@ -255,7 +255,7 @@
   }
 
   private openRequests(box: string): readonly string[] {
-    const answered = new Set(this.told.map(({request}) => request));
+    const answered = new Set(this.results.map(({request}) => request));
     return Array.from({length: this.requestCount}, (_, i) => i + 1)
       .flatMap((n) => [`e1 ${n}`, `e2 ${n}`])
       .filter((id) => id.startsWith(`${box} `) && this.isOpen(id, answered));
@@ -332,7 +332,7 @@
         this.recordResult({
           request: id,
           outcome: 'answered',
-          answerTo: this.answeringExecutions.get(id) ?? '',
+          executionId: this.answeringExecutions.get(id) ?? '',
         });
         this.sendToEntry(id, {kind: 'answer-ended', callId: id});
         break;
@@ -351,11 +351,11 @@
 
   private readonly answeringExecutions = new Map<string, string>();
 
-  private recordResult(result: Told): void {
+  private recordResult(result: RequestResult): void {
     if (this.closed.has(result.request) && result.outcome !== 'cut') {
       return;
     }
-    this.told.push(result);
+    this.results.push(result);
     const isUndetermined =
       result.outcome === 'unknown' || result.outcome === 'cut';
     if (
--- a/packages/brain/src/__tests__/__fixtures__/controlWorld.ts
+++ b/packages/brain/src/__tests__/__fixtures__/controlSimulation.ts
@@ -24,7 +24,7 @@
 
 /** State and faults of the fake log. */
 export interface FakeLog {
-  isAway: boolean;
+  isUnavailable: boolean;
   /** Appends take effect, but their responses are lost. */
   losesConfirmations: boolean;
   /** Appends are lost before they take effect; callers see no difference. */
@@ -37,10 +37,10 @@
 }
 
 /** One simulated node. */
-export interface WorldNode {
+export interface SimulatedNode {
   readonly box: string;
   readonly dataCentre: string;
-  brain: ControlStateMachine;
+  stateMachine: ControlStateMachine;
   isUp: boolean;
   readonly timeline: string[];
 }
@@ -55,12 +55,12 @@
 const DELAY_MILLISECONDS = 2;
 
 /** Runs the nodes and performs their actions. */
-export class ControlWorld {
+export class ControlSimulation {
   now = 1_000_000;
-  readonly nodes: WorldNode[] = [];
+  readonly nodes: SimulatedNode[] = [];
   readonly settlements = new Map<string, ChangeSettlement>();
   readonly log: FakeLog = {
-    isAway: false,
+    isUnavailable: false,
     losesConfirmations: false,
     losesAppends: false,
     slowMilliseconds: 0,
@@ -72,9 +72,9 @@
     },
   };
   /** Whether messages of one box reach another. */
-  reaches: (from: string, to: string) => boolean = () => true;
+  canReach: (from: string, to: string) => boolean = () => true;
   /** Whether a box can read the log and append to it. */
-  usesLog: (box: string) => boolean = () => true;
+  canUseLog: (box: string) => boolean = () => true;
   private readonly random;
   private queue: ScheduledEvent[] = [];
   private order = 0;
@@ -87,21 +87,21 @@
   }
 
   /** Starts a node, or restarts it with empty memory. */
-  start(box: string, dataCentre: string): WorldNode {
+  start(box: string, dataCentre: string): SimulatedNode {
     const existing = this.nodes.find((node) => node.box === box);
     const node = existing ?? {
       box,
       dataCentre,
-      brain: this.createStateMachine(box, dataCentre),
+      stateMachine: this.createStateMachine(box, dataCentre),
       isUp: true,
       timeline: [],
     };
     if (existing === undefined) {
       this.nodes.push(node);
     }
-    node.brain = this.createStateMachine(box, dataCentre);
+    node.stateMachine = this.createStateMachine(box, dataCentre);
     node.isUp = true;
-    const {brain: stateMachine} = node;
+    const {stateMachine} = node;
     this.tickPeriodically(node, stateMachine);
     const boxes = this.nodes.map((other) => ({
       box: other.box,
@@ -115,11 +115,16 @@
     return node;
   }
 
-  stop(node: WorldNode): void {
+  stop(node: SimulatedNode): void {
     node.isUp = false;
   }
 
-  publish(node: WorldNode, changeId: string, name: string, basedOn = 0): void {
+  publish(
+    node: SimulatedNode,
+    changeId: string,
+    name: string,
+    basedOn = 0,
+  ): void {
     const change: ChangeRecord = {
       kind: 'change',
       changeId,
@@ -158,7 +163,7 @@
     return this.nodes
       .filter(({isUp}) => isUp)
       .every(
-        ({brain: stateMachine}) =>
+        ({stateMachine}) =>
           stateMachine.isReady && stateMachine.replica.version >= version,
       );
   }
@@ -167,7 +172,7 @@
     const up = this.nodes.filter(({isUp}) => isUp);
     return new Set(
       up.map(
-        ({brain: stateMachine}) =>
+        ({stateMachine}) =>
           `${stateMachine.replica.version} ${stateMachine.replica.state.digest}`,
       ),
     );
@@ -196,10 +201,10 @@
   }
 
   private tickPeriodically(
-    node: WorldNode,
+    node: SimulatedNode,
     stateMachine: ControlStateMachine,
   ): void {
-    if (node.brain !== stateMachine || !node.isUp) {
+    if (node.stateMachine !== stateMachine || !node.isUp) {
       return;
     }
     this.handleEvent(node, {kind: 'tick'});
@@ -208,22 +213,22 @@
     );
   }
 
-  private handleEvent(node: WorldNode, event: ControlEvent): void {
+  private handleEvent(node: SimulatedNode, event: ControlEvent): void {
     if (!node.isUp) {
       return;
     }
-    const actions = node.brain.handle(this.now, this.random, event);
+    const actions = node.stateMachine.handle(this.now, this.random, event);
     actions.forEach((action) => this.performAction(node, action));
   }
 
-  private performAction(node: WorldNode, action: ControlAction): void {
-    const {brain: stateMachine} = node;
+  private performAction(node: SimulatedNode, action: ControlAction): void {
+    const {stateMachine} = node;
     const scheduleEvent = (
       event: ControlEvent,
       delay = DELAY_MILLISECONDS,
     ): void =>
       this.schedule(delay, () => {
-        if (node.brain === stateMachine) {
+        if (node.stateMachine === stateMachine) {
           this.handleEvent(node, event);
         }
       });
@@ -274,29 +279,29 @@
   private deliver(
     from: string,
     to: string,
-    handle: (to: WorldNode) => void,
+    handle: (to: SimulatedNode) => void,
   ): void {
     const target = this.nodes.find(({box}) => box === to);
-    if (target?.isUp && this.reaches(from, to)) {
+    if (target?.isUp && this.canReach(from, to)) {
       this.schedule(DELAY_MILLISECONDS, () => handle(target));
     }
   }
 
   private exchange(
-    node: WorldNode,
+    node: SimulatedNode,
     {token, address, request}: ControlAction & {readonly kind: 'exchange'},
     scheduleEvent: (event: ControlEvent, delay?: number) => void,
   ): void {
     const target = this.nodes.find(({box}) => box === address);
     const isOpen =
       target?.isUp &&
-      this.reaches(node.box, address) &&
-      this.reaches(address, node.box);
+      this.canReach(node.box, address) &&
+      this.canReach(address, node.box);
     if (!target || !isOpen) {
       scheduleEvent({kind: 'exchange-ended', token, reply: undefined}, 500);
       return;
     }
-    const [reply] = target.brain.handle(this.now, this.random, {
+    const [reply] = target.stateMachine.handle(this.now, this.random, {
       kind: 'exchange-received',
       token,
       request,
@@ -312,7 +317,7 @@
     from: number,
   ): LogReadResult {
     const {first, records} = this.log.streams[stream];
-    if (this.log.isAway || !this.usesLog(box)) {
+    if (this.log.isUnavailable || !this.canUseLog(box)) {
       return {kind: 'unreachable'};
     }
     const {era} = this.log;
@@ -337,14 +342,14 @@
     value: unknown,
   ): AppendResult {
     const {log} = this;
-    if (log.isAway || !this.usesLog(box)) {
+    if (log.isUnavailable || !this.canUseLog(box)) {
       return {kind: 'not-appended'};
     }
     if (log.losesAppends) {
       return {kind: 'unknown'};
     }
     const {first, records} = log.streams[stream];
-    this.appendPastNodes(stream, value);
+    this.appendExternally(stream, value);
     return log.losesConfirmations
       ? {kind: 'unknown'}
       : {
@@ -365,7 +370,7 @@
   }
 
   /** Appends a record as another writer would, without any node. */
-  appendPastNodes(stream: StreamName, value: unknown): void {
+  appendExternally(stream: StreamName, value: unknown): void {
     const {records, times} = this.log.streams[stream];
     records.push(structuredClone(value));
     times.push(this.now);
--- a/packages/brain/src/__tests__/__fixtures__/floorWorld.ts
+++ b/packages/brain/src/__tests__/__fixtures__/floorSimulation.ts
@@ -16,7 +16,7 @@
 
 /** A step of the simulation. */
 export type Step =
-  | {readonly kind: 'sicken' | 'heal'; readonly guard: number}
+  | {readonly kind: 'fail-calls' | 'complete-calls'; readonly guard: number}
   | {readonly kind: 'tick'; readonly milliseconds: number}
   | {
       readonly kind: 'deliver';
@@ -64,7 +64,7 @@
 }
 
 /** Runs guards and holders whose messages are delivered by steps. */
-export class FloorWorld {
+export class FloorSimulation {
   now = 1_000_000;
   readonly holders: PermitHolder[] = [];
   readonly guards: GuardStateMachine[] = [];
@@ -78,7 +78,7 @@
   private callCount = 0;
 
   constructor(private readonly floorSlots: number) {
-    this.newHolder();
+    this.addHolder();
     for (let i = 0; i < UPSTREAMS; i += 1) {
       this.incarnations.push(0);
       this.startGuard(i, false);
@@ -93,11 +93,11 @@
 
   run(step: Step): void {
     switch (step.kind) {
-      case 'sicken':
-        this.callMany(step.guard, 500);
+      case 'fail-calls':
+        this.runCalls(step.guard, 500);
         break;
-      case 'heal':
-        this.callMany(step.guard, 200);
+      case 'complete-calls':
+        this.runCalls(step.guard, 200);
         break;
       case 'tick':
         this.now += step.milliseconds;
@@ -115,7 +115,7 @@
         }
         break;
       case 'new-holder':
-        this.newHolder();
+        this.addHolder();
         break;
       case 'learn-fence':
         this.learnFence(step.guard);
@@ -129,7 +129,7 @@
     }
   }
 
-  newHolder(): void {
+  addHolder(): void {
     const fence = this.nextFence;
     this.fences.push(fence);
     this.nextFence = {...fence, offset: fence.offset + 1};
@@ -174,7 +174,7 @@
     this.nextFence = {era: era + 1, offset: Math.max(0, offset - lost)};
   }
 
-  callMany(i: number, status: number, count = 40): void {
+  runCalls(i: number, status: number, count = 40): void {
     for (let n = 0; n < count; n += 1) {
       this.callCount += 1;
       const id = String(this.callCount);
--- a/packages/brain/src/__tests__/__fixtures__/guardWorld.ts
+++ b/packages/brain/src/__tests__/__fixtures__/guardHarness.ts
@@ -16,7 +16,7 @@
 const random = seededRandom(1);
 
 /** Passes events to one guard at a given time. */
-export class GuardWorld {
+export class GuardHarness {
   now = 0;
   constructor(
     slots = 1,
@@ -54,13 +54,13 @@
         ...overrides,
       },
     };
-    return this.tell({
+    return this.handle({
       kind: 'services-changed',
       services: [{name: SERVICE, sensitivity: 'fast', upstreams: [upstream]}],
     });
   }
 
-  tell(
+  handle(
     event: Parameters<GuardStateMachine['handle']>[2],
   ): readonly GuardAction[] {
     return this.guard
@@ -89,13 +89,13 @@
       needsGo: true,
       ...overrides,
     };
-    return this.tell({kind: 'call-offered', call});
+    return this.handle({kind: 'call-offered', call});
   }
 
   /** Offers a call and answers it with a status. */
   run(id: string, status: number): void {
     this.offer(id, {needsGo: false});
-    this.tell({
+    this.handle({
       kind: 'upstream-answered',
       callId: id,
       status,
@@ -106,7 +106,7 @@
 }
 
 /** Returns the reason and outcome of each refusal. */
-export const reasonOf = (actions: readonly GuardAction[]) =>
+export const refusalsOf = (actions: readonly GuardAction[]) =>
   actions.flatMap((action) =>
     action.kind === 'refuse'
       ? [`${action.refusal.reason} ${action.refusal.outcome}`]
--- a/packages/brain/src/__tests__/callFaults.test.ts
+++ b/packages/brain/src/__tests__/callFaults.test.ts
@@ -2,8 +2,8 @@
 /** Injects every fault, and pairs of faults, at the steps of a call. */
 
 import {describe, expect, it} from 'vitest';
-import {CALL_FAULTS, CallWorld} from './__fixtures__/callWorld.js';
-import type {TimedFault} from './__fixtures__/callWorld.js';
+import {CALL_FAULTS, CallSimulation} from './__fixtures__/callSimulation.js';
+import type {TimedFault} from './__fixtures__/callSimulation.js';
 
 const KINDS = ['repeatable', 'once-only'] as const;
 
@@ -16,8 +16,8 @@
 function runWithFaults(
   kind: (typeof KINDS)[number],
   faults: readonly TimedFault[],
-): CallWorld {
-  const simulation = new CallWorld(kind === 'once-only', faults);
+): CallSimulation {
+  const simulation = new CallSimulation(kind === 'once-only', faults);
   simulation.run();
   return simulation;
 }
@@ -28,13 +28,13 @@
 }
 
 function checkResults(
-  simulation: CallWorld,
+  simulation: CallSimulation,
   kind: (typeof KINDS)[number],
 ): void {
   const ran = new Set(simulation.executions.map(requestOf));
-  const requests = simulation.told.map(({request}) => request);
+  const requests = simulation.results.map(({request}) => request);
   expect(new Set(requests).size).toBe(requests.length);
-  for (const {request, outcome, answerTo: executionId} of simulation.told) {
+  for (const {request, outcome, executionId} of simulation.results) {
     if (outcome === 'not-run') {
       expect(ran.has(request)).toBe(false);
     }
@@ -53,7 +53,7 @@
 describe.each(KINDS)('a %s call', (kind) => {
   it('is answered without faults', () => {
     const simulation = runWithFaults(kind, []);
-    expect(simulation.told).toMatchObject([{outcome: 'answered'}]);
+    expect(simulation.results).toMatchObject([{outcome: 'answered'}]);
     expect(simulation.executions).toHaveLength(1);
   });
 
@@ -89,9 +89,9 @@
     for (let step = 0; step < MAXIMUM_STEPS; step += 1) {
       const simulation = runWithFaults(kind, [{fault, step}]);
       const hasCallerLeft = fault === 'caller leaves';
-      expect(simulation.told.length + (hasCallerLeft ? 1 : 0)).toBeGreaterThan(
-        0,
-      );
+      expect(
+        simulation.results.length + (hasCallerLeft ? 1 : 0),
+      ).toBeGreaterThan(0);
     }
   });
 });
--- a/packages/brain/src/__tests__/changeFaults.test.ts
+++ b/packages/brain/src/__tests__/changeFaults.test.ts
@@ -2,8 +2,8 @@
 /** Injects every fault at each step of a configuration change or a restart. */
 
 import {describe, expect, it} from 'vitest';
-import {ControlWorld} from './__fixtures__/controlWorld.js';
-import type {WorldNode} from './__fixtures__/controlWorld.js';
+import {ControlSimulation} from './__fixtures__/controlSimulation.js';
+import type {SimulatedNode} from './__fixtures__/controlSimulation.js';
 
 const SETTINGS = {snapshots: {everyRecords: 4, everyMilliseconds: 3_600_000}};
 const NODES = 5;
@@ -17,8 +17,8 @@
 
 interface Fault {
   readonly name: string;
-  readonly begin: (simulation: ControlWorld) => void;
-  readonly end: (simulation: ControlWorld) => void;
+  readonly begin: (simulation: ControlSimulation) => void;
+  readonly end: (simulation: ControlSimulation) => void;
 }
 
 const isPublisher = (box: string): boolean => box === 'box-0';
@@ -26,8 +26,8 @@
 const FAULTS: readonly Fault[] = [
   {
     name: 'the log is unavailable',
-    begin: ({log}) => void (log.isAway = true),
-    end: ({log}) => void (log.isAway = false),
+    begin: ({log}) => void (log.isUnavailable = true),
+    end: ({log}) => void (log.isUnavailable = false),
   },
   {
     name: 'the log is slow',
@@ -62,20 +62,21 @@
   {
     name: 'the publishing node is isolated',
     begin: (simulation) =>
-      void (simulation.reaches = (from, to) =>
+      void (simulation.canReach = (from, to) =>
         !isPublisher(from) && !isPublisher(to)),
-    end: (simulation) => void (simulation.reaches = () => true),
+    end: (simulation) => void (simulation.canReach = () => true),
   },
   {
     name: 'the publishing node receives no messages',
     begin: (simulation) =>
-      void (simulation.reaches = (_from, to) => !isPublisher(to)),
-    end: (simulation) => void (simulation.reaches = () => true),
+      void (simulation.canReach = (_from, to) => !isPublisher(to)),
+    end: (simulation) => void (simulation.canReach = () => true),
   },
   {
     name: 'only one node reaches the log',
-    begin: (simulation) => void (simulation.usesLog = (box) => box === 'box-1'),
-    end: (simulation) => void (simulation.usesLog = () => true),
+    begin: (simulation) =>
+      void (simulation.canUseLog = (box) => box === 'box-1'),
+    end: (simulation) => void (simulation.canUseLog = () => true),
   },
   {
     name: 'a data centre is lost',
@@ -90,18 +91,18 @@
   },
 ];
 
-function nodeAt(simulation: ControlWorld, i: number): WorldNode {
-  return simulation.nodes[i] as WorldNode;
+function nodeAt(simulation: ControlSimulation, i: number): SimulatedNode {
+  return simulation.nodes[i] as SimulatedNode;
 }
 
-function startSimulation(): ControlWorld {
-  const simulation = new ControlWorld(4, SETTINGS);
+function startSimulation(): ControlSimulation {
+  const simulation = new ControlSimulation(4, SETTINGS);
   for (let i = 0; i < NODES; i += 1) {
     simulation.start(`box-${i}`, `data-centre-${i % 2}`);
   }
   expect(
     simulation.runUntil(() =>
-      simulation.nodes.every(({brain: stateMachine}) => stateMachine.isReady),
+      simulation.nodes.every(({stateMachine}) => stateMachine.isReady),
     ),
   ).toBe(true);
   for (let i = 0; i < 3; i += 1) {
@@ -115,7 +116,7 @@
 }
 
 /** Publishes two changes around the start of a fault, then ends the fault. */
-function runWithFault(fault: Fault, step: number): ControlWorld {
+function runWithFault(fault: Fault, step: number): ControlSimulation {
   const simulation = startSimulation();
   simulation.publish(nodeAt(simulation, 0), 'one', 'customer-one');
   simulation.run(step * STEP_MILLISECONDS);
@@ -128,7 +129,7 @@
 }
 
 /** Checks that all nodes have what is in the log in force, and nothing else. */
-function checkConsistency(simulation: ControlWorld): void {
+function checkConsistency(simulation: ControlSimulation): void {
   const {first, records} = simulation.log.streams.configuration;
   const version = first + records.length;
   expect(simulation.runUntil(() => simulation.isEverywhere(version))).toBe(
@@ -140,7 +141,7 @@
       ? changeId
       : `customer-${changeId}`;
     const isPresent = simulation.nodes.map(
-      ({brain: stateMachine}) =>
+      ({stateMachine}) =>
         stateMachine.replica.state.get('Customer', name) !== undefined,
     );
     const isAccepted =
@@ -205,10 +206,10 @@
       const simulation = startSimulation();
       const restarted = simulation.start('box-4', 'data-centre-0');
       simulation.run(step * STEP_MILLISECONDS);
-      simulation.log.isAway = true;
+      simulation.log.isUnavailable = true;
       simulation.run(10_000);
-      if (restarted.brain.isReady) {
-        expect(restarted.brain.replica.version).toBe(3);
+      if (restarted.stateMachine.isReady) {
+        expect(restarted.stateMachine.replica.version).toBe(3);
       }
     }
   });
--- a/packages/brain/src/__tests__/configurationSpreads.test.ts
+++ b/packages/brain/src/__tests__/configurationSpreads.test.ts
@@ -2,32 +2,36 @@
 /** Tests that accepted changes reach all nodes and survive log faults. */
 
 import {describe, expect, it} from 'vitest';
-import {ControlWorld} from './__fixtures__/controlWorld.js';
-import type {WorldNode} from './__fixtures__/controlWorld.js';
+import {ControlSimulation} from './__fixtures__/controlSimulation.js';
+import type {SimulatedNode} from './__fixtures__/controlSimulation.js';
 
 const SMALL_SNAPSHOTS = {
   snapshots: {everyRecords: 5, everyMilliseconds: 3_600_000},
 };
 
-function startSimulation(nodes: number, seed = 1): ControlWorld {
-  const simulation = new ControlWorld(seed, SMALL_SNAPSHOTS);
+function startSimulation(nodes: number, seed = 1): ControlSimulation {
+  const simulation = new ControlSimulation(seed, SMALL_SNAPSHOTS);
   for (let i = 0; i < nodes; i += 1) {
     simulation.start(`box-${i}`, `data-centre-${i % 2}`);
   }
   expect(
     simulation.runUntil(() =>
-      simulation.nodes.every(({brain: stateMachine}) => stateMachine.isReady),
+      simulation.nodes.every(({stateMachine}) => stateMachine.isReady),
     ),
   ).toBe(true);
   return simulation;
 }
 
-function firstNode(simulation: ControlWorld): WorldNode {
-  return simulation.nodes[0] as WorldNode;
+function firstNode(simulation: ControlSimulation): SimulatedNode {
+  return simulation.nodes[0] as SimulatedNode;
 }
 
 /** Publishes changes one after another and waits until each is settled. */
-function publishMany(simulation: ControlWorld, from: number, to: number): void {
+function publishMany(
+  simulation: ControlSimulation,
+  from: number,
+  to: number,
+): void {
   for (let i = from; i < to; i += 1) {
     simulation.publish(firstNode(simulation), `change-${i}`, `customer-${i}`);
     expect(
@@ -51,7 +55,7 @@
 
   it('reaches nodes that cannot read the log through their peers', () => {
     const simulation = startSimulation(8);
-    simulation.usesLog = (box) => box === 'box-0';
+    simulation.canUseLog = (box) => box === 'box-0';
     simulation.publish(firstNode(simulation), 'one', 'customer');
     expect(simulation.runUntil(() => simulation.isEverywhere(1))).toBe(true);
   });
@@ -101,7 +105,7 @@
 
   it('reports not-published while the log is unavailable and never appends the change', () => {
     const simulation = startSimulation(3);
-    simulation.log.isAway = true;
+    simulation.log.isUnavailable = true;
     simulation.publish(firstNode(simulation), 'one', 'customer');
     expect(simulation.runUntil(() => simulation.settlements.has('one'))).toBe(
       true,
@@ -114,7 +118,7 @@
         changeId: 'one',
       },
     });
-    simulation.log.isAway = false;
+    simulation.log.isUnavailable = false;
     simulation.run(30_000);
     expect(simulation.log.streams.configuration.records).toHaveLength(0);
   });
@@ -124,40 +128,40 @@
   it('loads its state from peers while the log is unavailable', () => {
     const simulation = startSimulation(5);
     publishMany(simulation, 0, 3);
-    simulation.log.isAway = true;
+    simulation.log.isUnavailable = true;
     const node = simulation.start('box-4', 'data-centre-0');
-    expect(simulation.runUntil(() => node.brain.isReady)).toBe(true);
-    expect(node.brain.replica.version).toBe(3);
+    expect(simulation.runUntil(() => node.stateMachine.isReady)).toBe(true);
+    expect(node.stateMachine.replica.version).toBe(3);
     expect(simulation.digests().size).toBe(1);
   });
 
   it('does not become ready while log and peers are unavailable', () => {
     const simulation = startSimulation(3);
     publishMany(simulation, 0, 2);
-    simulation.log.isAway = true;
-    simulation.reaches = () => false;
+    simulation.log.isUnavailable = true;
+    simulation.canReach = () => false;
     const node = simulation.start('box-2', 'data-centre-0');
     simulation.run(60_000);
-    expect(node.brain.isReady).toBe(false);
+    expect(node.stateMachine.isReady).toBe(false);
   });
 
   it('loads the newest state among its peers, not that of a lagging one', () => {
     const simulation = startSimulation(4);
     const lagging = 'box-3';
     simulation.run(3000);
-    simulation.reaches = (from, to) => from !== lagging && to !== lagging;
+    simulation.canReach = (from, to) => from !== lagging && to !== lagging;
     const isLagging = (box: string): boolean => box === lagging;
     publishMany(simulation, 0, 2);
     expect(
       simulation.nodes
         .filter(({box}) => !isLagging(box))
-        .every(({brain: stateMachine}) => stateMachine.replica.version === 2),
+        .every(({stateMachine}) => stateMachine.replica.version === 2),
     ).toBe(true);
-    simulation.log.isAway = true;
-    simulation.reaches = () => true;
+    simulation.log.isUnavailable = true;
+    simulation.canReach = () => true;
     const node = simulation.start('box-2', 'data-centre-0');
-    expect(simulation.runUntil(() => node.brain.isReady)).toBe(true);
-    expect(node.brain.replica.version).toBe(2);
+    expect(simulation.runUntil(() => node.stateMachine.isReady)).toBe(true);
+    expect(node.stateMachine.replica.version).toBe(2);
   });
 
   it('starts from a snapshot when the log has forgotten the first records', () => {
@@ -219,7 +223,7 @@
 
   it('are written by another node when the first writer has stopped', () => {
     const simulation = startSimulation(5);
-    const hasBegunSnapshot = (node: WorldNode): boolean =>
+    const hasBegunSnapshot = (node: SimulatedNode): boolean =>
       node.timeline.some((line) => line.startsWith('snapshot-begun'));
     simulation.log.losesAppends = false;
     publishMany(simulation, 0, 5);
@@ -229,11 +233,11 @@
         120_000,
       ),
     ).toBe(true);
-    const writer = simulation.nodes.find(hasBegunSnapshot) as WorldNode;
+    const writer = simulation.nodes.find(hasBegunSnapshot) as SimulatedNode;
     simulation.stop(writer);
     simulation.log.streams.snapshots.records.length = 0;
     simulation.run(60_000);
-    const other = simulation.nodes.find(({isUp}) => isUp) as WorldNode;
+    const other = simulation.nodes.find(({isUp}) => isUp) as SimulatedNode;
     for (let i = 0; i < 6; i += 1) {
       simulation.publish(other, `more-${i}`, `more-${i}`);
       simulation.run(2000);
--- a/packages/brain/src/__tests__/crashedUpstreams.test.ts
+++ b/packages/brain/src/__tests__/crashedUpstreams.test.ts
@@ -5,20 +5,24 @@
 import {GuardStateMachine} from '../guard/guardStateMachine.js';
 import {DEFAULT_GUARD_SETTINGS} from '../guard/guardMessages.js';
 import type {GuardAction} from '../guard/guardMessages.js';
-import {GuardWorld, UPSTREAM, reasonOf} from './__fixtures__/guardWorld.js';
+import {
+  GuardHarness,
+  UPSTREAM,
+  refusalsOf,
+} from './__fixtures__/guardHarness.js';
 
 describe('an upstream restarted under the same id', () => {
   function restarted(): {
-    readonly harness: GuardWorld;
+    readonly harness: GuardHarness;
     readonly actions: readonly GuardAction[];
   } {
-    const harness = new GuardWorld(2);
+    const harness = new GuardHarness(2);
     harness.configure({
       slots: 2,
       incarnation: {id: 'i-1', startedAt: 100},
     });
     harness.offer('sent', {needsGo: false, requestDigest: 'digest'});
-    harness.tell({
+    harness.handle({
       kind: 'upstream-answered',
       callId: 'sent',
       status: 200,
@@ -39,7 +43,7 @@
 
   it('ends the calls of its predecessor at once, each truthfully', () => {
     const {actions} = restarted();
-    expect(reasonOf(actions)).toEqual([
+    expect(refusalsOf(actions)).toEqual([
       'upstream-failed unknown',
       'upstream-replaced not-run',
       'upstream-replaced not-run',
@@ -66,7 +70,7 @@
   it('has all slots free and ignores late answers to its predecessor', () => {
     const {harness} = restarted();
     expect(
-      harness.tell({
+      harness.handle({
         kind: 'upstream-answered',
         callId: 'running',
         status: 200,
@@ -79,7 +83,7 @@
   });
 
   it('keeps the running calls if the new process has another id', () => {
-    const harness = new GuardWorld(2);
+    const harness = new GuardHarness(2);
     harness.configure({
       slots: 2,
       incarnation: {id: 'i-1', startedAt: 100},
@@ -88,21 +92,25 @@
     const actions = harness.configure({
       incarnation: {id: 'i-2', startedAt: 200},
     });
-    expect(reasonOf(actions)).toEqual([]);
+    expect(refusalsOf(actions)).toEqual([]);
   });
 });
 
 describe('an upstream whose process exits', () => {
-  function breakCall(harness: GuardWorld): readonly GuardAction[] {
+  function breakCall(harness: GuardHarness): readonly GuardAction[] {
     harness.offer('1', {needsGo: false, requestDigest: 'digest'});
-    return harness.tell({kind: 'upstream-failed', callId: '1', wasSent: true});
+    return harness.handle({
+      kind: 'upstream-failed',
+      callId: '1',
+      wasSent: true,
+    });
   }
 
   function finishCheck(
-    harness: GuardWorld,
+    harness: GuardHarness,
     addressState: 'listening' | 'gone',
   ) {
-    return harness.tell({
+    return harness.handle({
       kind: 'upstream-checked',
       upstream: UPSTREAM,
       incarnation: {id: 'i-1', startedAt: 0},
@@ -111,7 +119,7 @@
   }
 
   it('is checked when a call breaks, and reports what ran if it is gone', () => {
-    const harness = new GuardWorld();
+    const harness = new GuardHarness();
     expect(breakCall(harness)).toContainEqual(
       expect.objectContaining({kind: 'check-upstream'}),
     );
@@ -121,16 +129,16 @@
   });
 
   it('is not reported as crashed while its address is listening', () => {
-    const harness = new GuardWorld();
+    const harness = new GuardHarness();
     breakCall(harness);
     expect(finishCheck(harness, 'listening')).toEqual([]);
   });
 
   it('is not checked when a call breaks while it drains', () => {
-    const harness = new GuardWorld();
+    const harness = new GuardHarness();
     harness.offer('1', {needsGo: false, requestDigest: 'digest'});
     harness.configure({state: 'draining'});
-    const actions = harness.tell({
+    const actions = harness.handle({
       kind: 'upstream-failed',
       callId: '1',
       wasSent: true,
@@ -148,10 +156,10 @@
         quarantinedFor: (_now, digest) => (digest === 'bad' ? 5000 : 0),
       },
     );
-    const harness = new GuardWorld(1, undefined, undefined, guard);
+    const harness = new GuardHarness(1, undefined, undefined, guard);
     harness.configure({});
     expect(harness.offer('1')).toEqual([{kind: 'reserve', callId: '1'}]);
-    const refused = harness.tell({
+    const refused = harness.handle({
       kind: 'call-go',
       callId: '1',
       requestDigest: 'bad',
@@ -168,7 +176,7 @@
     ]);
     harness.offer('2');
     expect(
-      harness.tell({kind: 'call-go', callId: '2', requestDigest: 'good'}),
+      harness.handle({kind: 'call-go', callId: '2', requestDigest: 'good'}),
     ).toMatchObject([{kind: 'run', callId: '2'}]);
   });
 });
--- a/packages/brain/src/__tests__/floorIsKept.test.ts
+++ b/packages/brain/src/__tests__/floorIsKept.test.ts
@@ -3,8 +3,8 @@
 
 import fc from 'fast-check';
 import {describe, expect, it} from 'vitest';
-import {FloorWorld, UPSTREAMS} from './__fixtures__/floorWorld.js';
-import type {Message, Step} from './__fixtures__/floorWorld.js';
+import {FloorSimulation, UPSTREAMS} from './__fixtures__/floorSimulation.js';
+import type {Message, Step} from './__fixtures__/floorSimulation.js';
 
 const guardNumber = fc.nat({max: UPSTREAMS - 1});
 
@@ -12,7 +12,7 @@
   {
     weight: 4,
     arbitrary: fc.record({
-      kind: fc.constant('sicken' as const),
+      kind: fc.constant('fail-calls' as const),
       guard: guardNumber,
     }),
   },
@@ -46,7 +46,7 @@
   {
     weight: 2,
     arbitrary: fc.record({
-      kind: fc.constant('heal' as const),
+      kind: fc.constant('complete-calls' as const),
       guard: guardNumber,
     }),
   },
@@ -76,7 +76,7 @@
         fc.integer({min: 1, max: UPSTREAMS - 1}),
         fc.array(step, {minLength: 30, maxLength: 150}),
         (floorSlots, steps) => {
-          const simulation = new FloorWorld(floorSlots);
+          const simulation = new FloorSimulation(floorSlots);
           for (const next of steps) {
             simulation.run(next);
             stepsAtFloor +=
@@ -122,7 +122,7 @@
         fc.integer({min: 1, max: UPSTREAMS - 1}),
         fc.array(stepOrRestore, {minLength: 30, maxLength: 150}),
         (floorSlots, steps) => {
-          const simulation = new FloorWorld(floorSlots);
+          const simulation = new FloorSimulation(floorSlots);
           for (const next of steps) {
             simulation.run(next);
             maximumEjected = Math.max(
@@ -142,7 +142,7 @@
 });
 
 /** Removes the latest report of a guard from the messages in transit. */
-function takeReport(simulation: FloorWorld, guard: number): Message {
+function takeReport(simulation: FloorSimulation, guard: number): Message {
   const at = simulation.messages.findLastIndex(
     (message) => message.kind === 'report' && message.guard === guard,
   );
@@ -155,7 +155,7 @@
 
 /** Passes a report to a holder and returns its reply without delivering it. */
 function replyOf(
-  simulation: FloorWorld,
+  simulation: FloorSimulation,
   message: Message,
   holder: number,
 ): Message {
@@ -170,13 +170,13 @@
   return {kind: 'reply', guard, reply};
 }
 
-function deliver(simulation: FloorWorld, message: Message): void {
+function deliver(simulation: FloorSimulation, message: Message): void {
   simulation.messages.push(message);
   simulation.deliverAt(simulation.messages.length - 1, false);
 }
 
 /** Lets all guards report to one holder and delivers its replies. */
-function reportToHolder(simulation: FloorWorld, holder: number): void {
+function reportToHolder(simulation: FloorSimulation, holder: number): void {
   for (let i = 0; i < UPSTREAMS; i += 1) {
     simulation.learnFence(i);
   }
@@ -188,20 +188,20 @@
 }
 
 function requestEjection(
-  simulation: FloorWorld,
+  simulation: FloorSimulation,
   guard: number,
   holder: number,
 ): Message {
-  simulation.callMany(guard, 500);
+  simulation.runCalls(guard, 500);
   return replyOf(simulation, takeReport(simulation, guard), holder);
 }
 
 describe('a permit', () => {
   it('of a paused holder is not taken once a later fence is known', () => {
-    const simulation = new FloorWorld(UPSTREAMS - 1);
+    const simulation = new FloorSimulation(UPSTREAMS - 1);
     reportToHolder(simulation, 0);
     const lateReply = requestEjection(simulation, 0, 0);
-    simulation.newHolder();
+    simulation.addHolder();
     reportToHolder(simulation, 1);
     deliver(simulation, requestEjection(simulation, 1, 1));
     expect(simulation.ejectedCount()).toBe(1);
@@ -210,11 +210,11 @@
   });
 
   it('is not taken once the log was restored and another has its offset', () => {
-    const simulation = new FloorWorld(UPSTREAMS - 1);
+    const simulation = new FloorSimulation(UPSTREAMS - 1);
     reportToHolder(simulation, 0);
     const lateReply = requestEjection(simulation, 0, 0);
     simulation.restoreLog(1);
-    simulation.newHolder();
+    simulation.addHolder();
     reportToHolder(simulation, 1);
     deliver(simulation, requestEjection(simulation, 1, 1));
     expect(simulation.ejectedCount()).toBe(1);
@@ -223,9 +223,9 @@
   });
 
   it('is not granted by a new holder before all guards know its fence', () => {
-    const simulation = new FloorWorld(UPSTREAMS - 1);
+    const simulation = new FloorSimulation(UPSTREAMS - 1);
     reportToHolder(simulation, 0);
-    simulation.newHolder();
+    simulation.addHolder();
     for (let i = 0; i < UPSTREAMS - 1; i += 1) {
       simulation.learnFence(i);
     }
@@ -238,9 +238,9 @@
   });
 
   it('is not taken by a restarted guard that has not read the holders', () => {
-    const simulation = new FloorWorld(UPSTREAMS - 1);
+    const simulation = new FloorSimulation(UPSTREAMS - 1);
     reportToHolder(simulation, 0);
-    simulation.newHolder();
+    simulation.addHolder();
     reportToHolder(simulation, 1);
     deliver(simulation, requestEjection(simulation, 1, 1));
     simulation.startGuard(0, true);
@@ -252,21 +252,21 @@
   });
 
   it('for a withdrawn request is not accepted for the next one', () => {
-    const simulation = new FloorWorld(UPSTREAMS - 1);
+    const simulation = new FloorSimulation(UPSTREAMS - 1);
     reportToHolder(simulation, 0);
     const lateReply = requestEjection(simulation, 0, 0);
-    simulation.callMany(0, 200, 300);
+    simulation.runCalls(0, 200, 300);
     reportToHolder(simulation, 0);
     expect(simulation.ejectedCount()).toBe(0);
     deliver(simulation, requestEjection(simulation, 1, 0));
     expect(simulation.ejectedCount()).toBe(1);
-    simulation.callMany(0, 500);
+    simulation.runCalls(0, 500);
     deliver(simulation, lateReply);
     expect(simulation.ejectedCount()).toBe(1);
   });
 
   it('counts until its guard has moved on, though its grant was lost', () => {
-    const simulation = new FloorWorld(UPSTREAMS - 1);
+    const simulation = new FloorSimulation(UPSTREAMS - 1);
     reportToHolder(simulation, 0);
     const lostReply = requestEjection(simulation, 0, 0);
     expect(lostReply.kind).toBe('reply');
@@ -279,7 +279,7 @@
   });
 
   it('is revoked when the floor needs the upstream', () => {
-    const simulation = new FloorWorld(UPSTREAMS - 1);
+    const simulation = new FloorSimulation(UPSTREAMS - 1);
     reportToHolder(simulation, 0);
     deliver(simulation, requestEjection(simulation, 0, 0));
     expect(simulation.ejectedCount()).toBe(1);
--- a/packages/brain/src/__tests__/idleUpstreams.test.ts
+++ b/packages/brain/src/__tests__/idleUpstreams.test.ts
@@ -4,7 +4,7 @@
 import {describe, expect, it} from 'vitest';
 import {seededRandom} from '@lockpin/utils';
 import type {GuardAction, GuardCall} from '../guard/guardMessages.js';
-import {GuardWorld} from './__fixtures__/guardWorld.js';
+import {GuardHarness} from './__fixtures__/guardHarness.js';
 
 /** A healthy upstream gets a call within this time while calls are offered. */
 const MAXIMUM_IDLE_MILLISECONDS = 2000;
@@ -33,13 +33,13 @@
 
 /** Offers a call at each step; returns the time until one is accepted. */
 function idleMilliseconds(
-  harness: GuardWorld,
+  harness: GuardHarness,
   overrides: Partial<GuardCall> = {},
 ): number {
   const from = harness.now;
   for (let offered = 0; harness.now - from < HANG_MILLISECONDS; offered += 1) {
     harness.now += STEP_MILLISECONDS;
-    harness.tell({kind: 'tick'});
+    harness.handle({kind: 'tick'});
     const usefulUntil = harness.now + GOAL_MILLISECONDS;
     const call = {...AT_MOST_ONCE, usefulUntil, ...overrides};
     if (isAccepted(harness.offer(`offer ${offered}`, call))) {
@@ -51,13 +51,13 @@
 
 describe('an upstream with a hung call', () => {
   it('gets another call within two seconds if none has succeeded', () => {
-    const harness = new GuardWorld(SLOTS);
+    const harness = new GuardHarness(SLOTS);
     harness.offer('hangs', {...AT_MOST_ONCE, usefulUntil: GOAL_MILLISECONDS});
     expect(idleMilliseconds(harness)).toBeLessThan(MAXIMUM_IDLE_MILLISECONDS);
   });
 
   it('gets another call within two seconds if one has succeeded', () => {
-    const harness = new GuardWorld(SLOTS);
+    const harness = new GuardHarness(SLOTS);
     harness.run('well', 200);
     const expectedMilliseconds = CALL_MILLISECONDS;
     harness.offer('hangs', {...AT_MOST_ONCE, expectedMilliseconds});
@@ -71,7 +71,7 @@
 /** Simulates the upstreams of a service with non-repeatable calls. */
 class StartingService {
   readonly calledAt: number[][];
-  private readonly upstreams: readonly GuardWorld[];
+  private readonly upstreams: readonly GuardHarness[];
   private readonly random;
   private pending: {endsAt: number; upstream: number; id: string}[] = [];
 
@@ -82,7 +82,7 @@
     private readonly hungCount: number,
   ) {
     this.random = seededRandom(seed);
-    this.upstreams = Array.from({length: count}, () => new GuardWorld(SLOTS));
+    this.upstreams = Array.from({length: count}, () => new GuardHarness(SLOTS));
     this.calledAt = this.upstreams.map(() => []);
   }
 
@@ -90,7 +90,7 @@
     for (let now = 0; now < milliseconds; now += STEP_MILLISECONDS) {
       this.upstreams.forEach((upstream) => {
         upstream.now = now;
-        upstream.tell({kind: 'tick'});
+        upstream.handle({kind: 'tick'});
       });
       this.answerDueCalls(now);
       for (let i = 0; i < callsPerStep; i += 1) {
@@ -139,7 +139,7 @@
   private answerDueCalls(now: number): void {
     const isDue = ({endsAt}: {endsAt: number}) => endsAt <= now;
     for (const {upstream, id} of this.pending.filter(isDue)) {
-      this.upstreams[upstream]?.tell({
+      this.upstreams[upstream]?.handle({
         kind: 'upstream-answered',
         callId: id,
         status: 200,
--- a/packages/brain/src/__tests__/probation.test.ts
+++ b/packages/brain/src/__tests__/probation.test.ts
@@ -8,11 +8,11 @@
 import {DEFAULT_GUARD_SETTINGS} from '../guard/guardMessages.js';
 import {GuardStateMachine} from '../guard/guardStateMachine.js';
 import {
-  GuardWorld,
+  GuardHarness,
   SERVICE,
   UPSTREAM,
-  reasonOf,
-} from './__fixtures__/guardWorld.js';
+  refusalsOf,
+} from './__fixtures__/guardHarness.js';
 
 const {initialHoldMilliseconds} = DETECTION_SETTINGS.fast;
 const FAILED_CALLS = 60;
@@ -31,28 +31,28 @@
 const AT_MOST_ONCE = {repetition: 'at-most-once', needsGo: false} as const;
 
 /** Creates a guard whose upstream failed all calls and is now on probation. */
-function createUpstreamOnProbation(): GuardWorld {
+function createUpstreamOnProbation(): GuardHarness {
   const identity = {box: 'box', incarnation: 'a'};
   const guard = new GuardStateMachine(identity, DEFAULT_GUARD_SETTINGS);
-  const harness = new GuardWorld(4, undefined, undefined, guard);
+  const harness = new GuardHarness(4, undefined, undefined, guard);
   const fence = {era: 1, offset: 1};
   const reply = (decision: HolderReply['decision']) =>
-    harness.tell({
+    harness.handle({
       kind: 'holder-replied',
       service: SERVICE,
       reply: {upstream: UPSTREAM, fence, decision, baseline: BASELINE},
     });
-  harness.tell({kind: 'fence-learnt', service: SERVICE, fence});
-  harness.tell({kind: 'holders-read'});
+  harness.handle({kind: 'fence-learnt', service: SERVICE, fence});
+  harness.handle({kind: 'holders-read'});
   reply({kind: 'none'});
   for (let i = 0; i < FAILED_CALLS; i += 1) {
     harness.now += STEP_MILLISECONDS;
     harness.run(`failed ${i}`, 500);
-    harness.tell({kind: 'tick'});
+    harness.handle({kind: 'tick'});
   }
   reply({kind: 'granted', request: 0});
   harness.now += initialHoldMilliseconds;
-  harness.tell({kind: 'tick'});
+  harness.handle({kind: 'tick'});
   return harness;
 }
 
@@ -60,12 +60,12 @@
   // Guards against a probation that never ends without repeatable calls.
   it('admits one non-repeatable call at a time if no repeatable ones arrive', () => {
     const harness = createUpstreamOnProbation();
-    expect(reasonOf(harness.offer('early', AT_MOST_ONCE))).toEqual([
+    expect(refusalsOf(harness.offer('early', AT_MOST_ONCE))).toEqual([
       'upstream-ejected not-run',
     ]);
     harness.now += initialHoldMilliseconds;
     expect(harness.offer('probe', AT_MOST_ONCE)).toMatchObject([{kind: 'run'}]);
-    expect(reasonOf(harness.offer('second', AT_MOST_ONCE))).toEqual([
+    expect(refusalsOf(harness.offer('second', AT_MOST_ONCE))).toEqual([
       'upstream-ejected not-run',
     ]);
   });
@@ -76,7 +76,7 @@
     for (let i = 0; i < 4; i += 1) {
       harness.now += initialHoldMilliseconds - STEP_MILLISECONDS;
       harness.run(`probe ${i}`, 200);
-      expect(reasonOf(harness.offer(`once ${i}`, AT_MOST_ONCE))).toEqual([
+      expect(refusalsOf(harness.offer(`once ${i}`, AT_MOST_ONCE))).toEqual([
         'upstream-ejected not-run',
       ]);
     }
--- a/packages/brain/src/__tests__/restoredLog.test.ts
+++ b/packages/brain/src/__tests__/restoredLog.test.ts
@@ -8,8 +8,8 @@
 import {describe, expect, it} from 'vitest';
 import type {RandomSource} from '@lockpin/types';
 import {seededRandom} from '@lockpin/utils';
-import {ControlWorld} from './__fixtures__/controlWorld.js';
-import type {WorldNode} from './__fixtures__/controlWorld.js';
+import {ControlSimulation} from './__fixtures__/controlSimulation.js';
+import type {SimulatedNode} from './__fixtures__/controlSimulation.js';
 
 /** A change is in force on every node within this time. */
 const CONFIGURATION_MILLISECONDS = 16_000;
@@ -18,22 +18,26 @@
   snapshots: {everyRecords: 5, everyMilliseconds: 3_600_000},
 };
 
-function startSimulation(nodes: number, seed = 1): ControlWorld {
-  const simulation = new ControlWorld(seed, SETTINGS);
+function startSimulation(nodes: number, seed = 1): ControlSimulation {
+  const simulation = new ControlSimulation(seed, SETTINGS);
   for (let i = 0; i < nodes; i += 1) {
     simulation.start(`box-${i}`, `data-centre-${i % 2}`);
   }
   const areReady = (): boolean =>
-    simulation.nodes.every(({brain: stateMachine}) => stateMachine.isReady);
+    simulation.nodes.every(({stateMachine}) => stateMachine.isReady);
   expect(simulation.runUntil(areReady)).toBe(true);
   return simulation;
 }
 
-function nodeAt(simulation: ControlWorld, i: number): WorldNode {
-  return simulation.nodes[i % simulation.nodes.length] as WorldNode;
+function nodeAt(simulation: ControlSimulation, i: number): SimulatedNode {
+  return simulation.nodes[i % simulation.nodes.length] as SimulatedNode;
 }
 
-function publishMany(simulation: ControlWorld, from: number, to: number): void {
+function publishMany(
+  simulation: ControlSimulation,
+  from: number,
+  to: number,
+): void {
   for (let i = from; i < to; i += 1) {
     simulation.publish(nodeAt(simulation, i), `change-${i}`, `customer-${i}`);
     expect(
@@ -44,13 +48,13 @@
 
 /** Whether all running nodes have these customers in force. */
 function haveCustomers(
-  simulation: ControlWorld,
+  simulation: ControlSimulation,
   from: number,
   to: number,
 ): boolean {
   return simulation.nodes
     .filter(({isUp}) => isUp)
-    .every(({brain: stateMachine}) => {
+    .every(({stateMachine}) => {
       const {state} = stateMachine.replica;
       return (
         stateMachine.isReady &&
@@ -134,7 +138,7 @@
     simulation.run(2000);
     simulation.restoreLogTo(copiedAt);
     // Appended before any node can detect the restore.
-    simulation.appendPastNodes('configuration', {
+    simulation.appendExternally('configuration', {
       kind: 'change',
       changeId: 'second',
       author: 'test',
@@ -157,7 +161,10 @@
 });
 
 /** Injects one random fault; a restore of the log is one of them. */
-function injectFault(simulation: ControlWorld, random: RandomSource): void {
+function injectFault(
+  simulation: ControlSimulation,
+  random: RandomSource,
+): void {
   const target = nodeAt(
     simulation,
     Math.floor(random() * simulation.nodes.length),
@@ -169,12 +176,12 @@
   const faults = [
     () => simulation.restoreLogTo(simulation.now - random() * 6000),
     () => simulation.restoreLogTo(simulation.now - random() * 2000),
-    () => (simulation.usesLog = (box) => box !== unreachableBox),
+    () => (simulation.canUseLog = (box) => box !== unreachableBox),
     () =>
-      (simulation.reaches = (from, to) =>
+      (simulation.canReach = (from, to) =>
         from !== unreachableBox && to !== unreachableBox),
-    () => (simulation.reaches = (from) => from !== unreachableBox),
-    () => (simulation.log.isAway = !simulation.log.isAway),
+    () => (simulation.canReach = (from) => from !== unreachableBox),
+    () => (simulation.log.isUnavailable = !simulation.log.isUnavailable),
     () =>
       (simulation.log.losesConfirmations = !simulation.log.losesConfirmations),
     () => simulation.stop(target),
@@ -184,10 +191,10 @@
 }
 
 /** Ends all faults and starts the stopped nodes. */
-function endFaults(simulation: ControlWorld): void {
-  simulation.usesLog = () => true;
-  simulation.reaches = () => true;
-  simulation.log.isAway = false;
+function endFaults(simulation: ControlSimulation): void {
+  simulation.canUseLog = () => true;
+  simulation.canReach = () => true;
+  simulation.log.isUnavailable = false;
   simulation.log.losesConfirmations = false;
   simulation.nodes
     .filter(({isUp}) => !isUp)
@@ -222,10 +229,10 @@
   const hasAgreed = (): boolean =>
     simulation.settlements.has('last') &&
     simulation.digests().size === 1 &&
-    simulation.nodes.every(({brain: stateMachine}) => stateMachine.isReady);
+    simulation.nodes.every(({stateMachine}) => stateMachine.isReady);
   const found = simulation.runUntil(hasAgreed, 90_000) ? [] : ['no agreement'];
   const events = new Set(simulation.nodes.flatMap(({timeline}) => timeline));
-  const {state} = nodeAt(simulation, 0).brain.replica;
+  const {state} = nodeAt(simulation, 0).stateMachine.replica;
   const lost = [...simulation.settlements].filter(
     ([changeId, settlement]) =>
       settlement.kind === 'outcome' &&
