--- a/packages/fleet/src/__tests__/__fixtures__/fleetWorld.ts
+++ b/packages/fleet/src/__tests__/__fixtures__/fleetSimulation.ts
@@ -13,8 +13,8 @@
 } from '../../fleetMessages.js';
 import type {FollowedPeers} from '../../nodeIdentity.js';
 import type {StreamRead} from '../../streamFollower.js';
-import {PlayedStore} from './playedStore.js';
-import type {StoreCaller} from './playedStore.js';
+import {SimulatedStore} from './simulatedStore.js';
+import type {StoreCaller} from './simulatedStore.js';
 import type {RecordStream, StoredRecord} from '../../recordStore.js';
 
 /** Time between two ticks of a node. */
@@ -61,7 +61,7 @@
 }
 
 /** Size of a simulated fleet, and the seed of its random numbers. */
-export interface WorldSize {
+export interface FleetSize {
   readonly boxes: number;
   readonly dataCentres: number;
   readonly seed: number;
@@ -84,26 +84,26 @@
 }
 
 /** Runs a fleet and its store on a virtual clock. */
-export class FleetWorld {
+export class FleetSimulation {
   /** Whether each node's entry has a stream to each guard, or to none. */
-  entriesHear = false;
+  areEntriesConnected = false;
   /** Called for each update that one box sends to another. */
-  onNews: (from: string, to: string, news: FleetUpdate) => void = () =>
+  onUpdate: (from: string, to: string, news: FleetUpdate) => void = () =>
     undefined;
   private now = EPOCH;
   private order = 0;
   private tasks: ScheduledTask[] = [];
   private readonly random: RandomSource;
   private readonly nodes = new Map<string, Node>();
-  private readonly store = new PlayedStore({
+  private readonly store = new SimulatedStore({
     now: () => this.now,
-    in: (milliseconds, run) => this.schedule(milliseconds, run),
+    schedule: (milliseconds, run) => this.schedule(milliseconds, run),
   });
   /** Versions that any node had in force after a higher one was confirmed. */
   readonly olderInForce: number[] = [];
   private confirmedVersion = 1;
 
-  constructor(private readonly size: WorldSize) {
+  constructor(private readonly size: FleetSize) {
     this.random = seededRandom(size.seed);
     this.store.append('configuration', {
       key: 'config',
@@ -114,12 +114,12 @@
     }
   }
 
-  names(): readonly string[] {
+  boxNames(): readonly string[] {
     return [...this.nodes.keys()];
   }
 
   alive(): readonly string[] {
-    return this.names().filter((box) => this.node(box).isUp);
+    return this.boxNames().filter((box) => this.node(box).isUp);
   }
 
   run(milliseconds: number): void {
@@ -153,7 +153,7 @@
   }
 
   /** The version in force at all these boxes; undefined if they differ. */
-  versions(boxes: readonly string[] = this.alive()): number | undefined {
+  commonVersion(boxes: readonly string[] = this.alive()): number | undefined {
     const versions = new Set(
       boxes.map((box) => this.node(box).stateMachine.version),
     );
@@ -161,7 +161,7 @@
   }
 
   /** Whether each running node knows all boxes; its own may be missing. */
-  everyoneKnows(boxes: number): boolean {
+  isEveryBoxKnown(boxes: number): boolean {
     return this.alive().every((own) => {
       const known = this.node(own).stateMachine.directory.all();
       return known.filter(({box}) => box !== own).length === boxes - 1;
@@ -169,7 +169,7 @@
   }
 
   /** Store calls of the node at this rank, counted from the fewest calls. */
-  callsOfMost(rank: number): number {
+  storeCallsAtRank(rank: number): number {
     const calls = [...this.nodes.values()].map((node) => node.calls);
     calls.sort((a, b) => a - b);
     return calls[rank - 1] ?? 0;
@@ -181,7 +181,7 @@
   }
 
   readers(): readonly string[] {
-    return this.names().filter((box) => this.isReader(box));
+    return this.boxNames().filter((box) => this.isReader(box));
   }
 
   readersOf(dataCentre: string): readonly string[] {
@@ -240,7 +240,7 @@
   }
 
   /** Whether no running node quarantines a request. */
-  nobodyKeepsOut(digest: string): boolean {
+  isQuarantinedNowhere(digest: string): boolean {
     return this.alive().every(
       (box) =>
         this.node(box).stateMachine.suspects.remaining(this.now, digest) === 0,
@@ -248,7 +248,7 @@
   }
 
   /** Whether every running node quarantines a request. */
-  everyoneKeepsOut(digest: string): boolean {
+  isQuarantinedEverywhere(digest: string): boolean {
     return this.alive().every(
       (box) =>
         this.node(box).stateMachine.suspects.remaining(this.now, digest) > 0,
@@ -256,11 +256,11 @@
   }
 
   /** Drops all packets of a box in one direction from now on. */
-  cut(box: string, direction: 'incoming' | 'outgoing'): void {
+  dropPackets(box: string, direction: 'incoming' | 'outgoing'): void {
     this.node(box).isReachable[direction] = false;
   }
 
-  turnAway(box: string): void {
+  refuseStoreCalls(box: string): void {
     this.node(box).isRefusedByStore = true;
   }
 
@@ -269,20 +269,20 @@
     return this.store.calls;
   }
 
-  set storeIsDown(isDown: boolean) {
+  set isStoreDown(isDown: boolean) {
     this.store.isDown = isDown;
   }
 
-  get storeIsDown(): boolean {
+  get isStoreDown(): boolean {
     return this.store.isDown;
   }
 
-  silenceStore(): void {
-    this.store.silence();
+  hangStore(): void {
+    this.store.hang();
   }
 
-  letStoreSpeak(): void {
-    this.store.speak();
+  resumeStore(): void {
+    this.store.resume();
   }
 
   restoreStore(lostMilliseconds: number): void {
@@ -296,7 +296,7 @@
   /** Ends all faults and restarts all stopped nodes. */
   heal(): void {
     this.store.isDown = false;
-    this.store.speak();
+    this.store.resume();
     this.nodes.forEach((node) => {
       node.isReachable = {incoming: true, outgoing: true};
       node.isRefusedByStore = false;
@@ -307,7 +307,7 @@
   }
 
   /** Whether all nodes of a data centre know that a box takes no work. */
-  isDrainedFor(box: string, dataCentre: string): boolean {
+  isDrainKnownIn(box: string, dataCentre: string): boolean {
     return [...this.nodes.values()]
       .filter((node) => node.dataCentre === dataCentre)
       .every(
@@ -316,11 +316,11 @@
   }
 
   /** Whether the store has the latest record of every running box. */
-  everyoneIsStored(): boolean {
+  isEveryBoxStored(): boolean {
     return this.alive().every((box) => {
       const {takesWork} = this.node(box);
       return (
-        this.isStored(box) && this.storedNewest(box)?.takesWork === takesWork
+        this.isStored(box) && this.storedBoxRecord(box)?.takesWork === takesWork
       );
     });
   }
@@ -329,16 +329,16 @@
     return this.store.newestOf('boxes', box) !== undefined;
   }
 
-  stored(box: string): StoredRecord {
+  storedRecord(box: string): StoredRecord {
     return this.store.newestOf('boxes', box) as StoredRecord;
   }
 
-  storedNewest(box: string): BoxRecord | undefined {
-    const {value} = this.stored(box);
+  storedBoxRecord(box: string): BoxRecord | undefined {
+    const {value} = this.storedRecord(box);
     return value && (JSON.parse(value.toString()) as BoxRecord);
   }
 
-  writeLate(record: StoredRecord): void {
+  applyLateWrite(record: StoredRecord): void {
     this.store.append('boxes', record);
   }
 
@@ -491,7 +491,7 @@
         });
         break;
       case 'notify-entries':
-        if (this.entriesHear) {
+        if (this.areEntriesConnected) {
           this.sendUpdateToAll(node, action.news);
         }
         break;
@@ -513,7 +513,7 @@
   }
 
   private sendUpdate(from: Node, to: Node, news: FleetUpdate): void {
-    this.onNews(from.box, to.box, news);
+    this.onUpdate(from.box, to.box, news);
     this.send(from, to, () =>
       this.handleEvent(to, {kind: 'update-received', news}),
     );
--- a/packages/fleet/src/__tests__/__fixtures__/playedStore.ts
+++ b/packages/fleet/src/__tests__/__fixtures__/simulatedStore.ts
@@ -28,9 +28,9 @@
 }
 
 /** The virtual clock of the fleet. */
-export interface PlayedTime {
+export interface SimulatedClock {
   readonly now: () => number;
-  readonly in: (milliseconds: number, run: () => void) => void;
+  readonly schedule: (milliseconds: number, run: () => void) => void;
 }
 
 /** A stored record with the time at which it arrived. */
@@ -48,7 +48,7 @@
 }
 
 /** Answers calls after a round trip unless it hangs. */
-export class PlayedStore {
+export class SimulatedStore {
   calls = 0;
   isDown = false;
   private isHung = false;
@@ -59,13 +59,13 @@
     boxes: [],
   };
 
-  constructor(private readonly clock: PlayedTime) {}
+  constructor(private readonly clock: SimulatedClock) {}
 
   /**
    * Stops answering. Pending calls, and calls made before the store resumes,
    * are never answered.
    */
-  silence(): void {
+  hang(): void {
     this.isHung = true;
     this.polls.forEach((poll) => {
       poll.isLost = true;
@@ -73,7 +73,7 @@
   }
 
   /** Answers calls that are made from now on. */
-  speak(): void {
+  resume(): void {
     this.isHung = false;
   }
 
@@ -103,7 +103,7 @@
     this.polls
       .filter((poll) => poll.stream === stream && poll.from < end)
       .forEach((poll) =>
-        this.clock.in(PUSH_MILLISECONDS, () => this.endPoll(poll)),
+        this.clock.schedule(PUSH_MILLISECONDS, () => this.endPoll(poll)),
       );
   }
 
@@ -129,10 +129,12 @@
     this.calls += 1;
     const poll = {stream, from: offset, caller, done, isLost: this.isHung};
     this.polls.push(poll);
-    this.clock.in(ROUND_TRIP_MILLISECONDS + waitMilliseconds, () =>
+    this.clock.schedule(ROUND_TRIP_MILLISECONDS + waitMilliseconds, () =>
       this.endPoll(poll),
     );
-    this.clock.in(timeout, () => this.finish(poll, () => this.refusal(true)));
+    this.clock.schedule(timeout, () =>
+      this.finish(poll, () => this.refusal(true)),
+    );
   }
 
   /** Handles a write of a box record by a node. */
@@ -156,7 +158,7 @@
   ): void {
     this.calls += 1;
     const isLost = this.isHung;
-    this.clock.in(isLost ? timeout : ROUND_TRIP_MILLISECONDS, () =>
+    this.clock.schedule(isLost ? timeout : ROUND_TRIP_MILLISECONDS, () =>
       done(isLost || caller.isRefused() ? this.refusal(isLost) : answer()),
     );
   }
--- a/packages/fleet/src/__tests__/__fixtures__/brainWorld.ts
+++ b/packages/fleet/src/__tests__/__fixtures__/stateMachineHarness.ts
@@ -11,9 +11,9 @@
 import type {RecordStream, StoredRecord} from '../../recordStore.js';
 
 /** Address of a peer in the node's own data centre. */
-export const NEAR = '10.0.0.2:7000';
+export const LOCAL_PEER_ADDRESS = '10.0.0.2:7000';
 /** Address of a peer in another data centre. */
-export const FAR = '10.0.0.3:7000';
+export const REMOTE_PEER_ADDRESS = '10.0.0.3:7000';
 
 /** Identity of the node under test. */
 export const IDENTITY = {
@@ -40,12 +40,12 @@
 }
 
 /** The stored record of a configuration version. */
-export function stored(version: number): StoredRecord {
+export function configurationRecord(version: number): StoredRecord {
   return {key: 'config', value: Buffer.from(String(version))};
 }
 
 /** The record of another box. */
-export function other(change: Partial<BoxRecord> = {}): BoxRecord {
+export function otherBoxRecord(change: Partial<BoxRecord> = {}): BoxRecord {
   return {
     box: 'b2',
     dataCentre: 'd1',
@@ -75,12 +75,12 @@
 }
 
 /** The result of a successful write. */
-export const WRITTEN = {ok: true, value: undefined, era: 1} as const;
+export const WRITE_SUCCESS = {ok: true, value: undefined, era: 1} as const;
 
 /** A fleet state machine and its clock. */
-export class BrainWorld {
+export class StateMachineHarness {
   now = 1000;
-  readonly brain = new FleetStateMachine(IDENTITY, (record) => {
+  readonly stateMachine = new FleetStateMachine(IDENTITY, (record) => {
     const version = Number(record.value?.toString());
     if (record.key !== 'config') {
       return success(undefined);
@@ -93,8 +93,8 @@
   /** Number of the newest read of each stream. */
   private readonly latestReads = {configuration: 0, boxes: 0};
 
-  tell(event: FleetEvent): readonly FleetAction[] {
-    const actions = this.brain.handle(this.now, random, event);
+  handle(event: FleetEvent): readonly FleetAction[] {
+    const actions = this.stateMachine.handle(this.now, random, event);
     for (const action of actions) {
       if (action.kind === 'read-newest' || action.kind === 'follow') {
         this.latestReads[action.stream] = action.read;
@@ -103,14 +103,18 @@
     return actions;
   }
 
-  read(stream: RecordStream, records: readonly StoredRecord[], end = 1) {
+  completeRead(
+    stream: RecordStream,
+    records: readonly StoredRecord[],
+    end = 1,
+  ) {
     const value = {
       records,
       end: {era: 1, offset: end},
       isWhole: false,
     };
     const result = {ok: true, value, era: 1} as const;
-    return this.tell({
+    return this.handle({
       kind: 'read-ended',
       stream,
       read: this.latestReads[stream],
@@ -118,13 +122,13 @@
     });
   }
 
-  fail(stream: RecordStream, kind: 'unavailable' | 'history-gone') {
+  failRead(stream: RecordStream, kind: 'unavailable' | 'history-gone') {
     const result = {
       ok: false,
       failure: {kind, detail: ''},
       era: undefined,
     } as const;
-    return this.tell({
+    return this.handle({
       kind: 'read-ended',
       stream,
       read: this.latestReads[stream],
@@ -138,33 +142,33 @@
     boxes: readonly StoredRecord[] = [],
   ) {
     this.tick();
-    this.read('configuration', configurations);
-    const actions = this.read('boxes', boxes);
+    this.completeRead('configuration', configurations);
+    const actions = this.completeRead('boxes', boxes);
     const peerReply = {configuration: undefined, boxes: []};
     for (const action of actions) {
       if (action.kind === 'query-peer') {
         const {address} = action;
-        this.tell({kind: 'peer-replied', address, reply: peerReply});
+        this.handle({kind: 'peer-replied', address, reply: peerReply});
       }
     }
   }
 
   announce(change: Partial<UpstreamAnnouncement> = {}) {
     const message = announcement(change);
-    return this.tell({kind: 'upstream-announced', announcement: message});
+    return this.handle({kind: 'upstream-announced', announcement: message});
   }
 
   /** Announces the upstream, after which the node is a reader of the store. */
-  announceAsReader() {
+  becomeReader() {
     this.announce();
-    this.tell({kind: 'write-ended', result: WRITTEN});
+    this.handle({kind: 'write-ended', result: WRITE_SUCCESS});
     this.tick();
-    expect(this.brain.readerRole.isReadingStore(this.now)).toBe(true);
+    expect(this.stateMachine.readerRole.isReadingStore(this.now)).toBe(true);
   }
 
   tick(milliseconds = 0) {
     this.now += milliseconds;
-    return this.tell({kind: 'tick'});
+    return this.handle({kind: 'tick'});
   }
 }
 
--- a/packages/fleet/src/__tests__/readingFleet.test.ts
+++ b/packages/fleet/src/__tests__/readingFleet.test.ts
@@ -9,7 +9,7 @@
 import type {RandomSource} from '@lockpin/types';
 import {seededRandom} from '@lockpin/utils';
 import {READERS_PER_DATA_CENTRE} from '../readerSelection.js';
-import {FleetWorld} from './__fixtures__/fleetWorld.js';
+import {FleetSimulation} from './__fixtures__/fleetSimulation.js';
 
 /** Limits for a small deployment, in milliseconds. */
 const CONFIGURATION_MILLISECONDS = 2000;
@@ -22,17 +22,17 @@
 
 describe('a fleet that starts for the first time', () => {
   it.each(SIZES)('makes few store calls per node: $boxes boxes', (size) => {
-    const fleet = new FleetWorld({...size, seed: 7});
+    const fleet = new FleetSimulation({...size, seed: 7});
     fleet.run(10_000);
-    expect(fleet.everyoneKnows(size.boxes)).toBe(true);
+    expect(fleet.isEveryBoxKnown(size.boxes)).toBe(true);
     const others = size.boxes - size.dataCentres * READERS_PER_DATA_CENTRE;
     // The configuration, the boxes once, and the own record.
-    expect(fleet.callsOfMost(others)).toBeLessThanOrEqual(4);
+    expect(fleet.storeCallsAtRank(others)).toBeLessThanOrEqual(4);
   });
 
   it('has two readers per data centre, for any number of boxes', () => {
     const calls = [20, 80].map((boxes) => {
-      const fleet = new FleetWorld({boxes, dataCentres: 2, seed: 3});
+      const fleet = new FleetSimulation({boxes, dataCentres: 2, seed: 3});
       fleet.run(10_000);
       expect(fleet.readers()).toHaveLength(2 * READERS_PER_DATA_CENTRE);
       const before = fleet.storeCalls;
@@ -48,46 +48,48 @@
   it.each(SIZES)(
     'of the configuration reaches all nodes in time: $boxes',
     (size) => {
-      const fleet = new FleetWorld({...size, seed: 11});
+      const fleet = new FleetSimulation({...size, seed: 11});
       fleet.run(10_000);
       for (let version = 2; version < 6; version += 1) {
         fleet.publish(version);
-        expect(fleet.runUntil(() => fleet.versions() === version)).toBeLessThan(
-          CONFIGURATION_MILLISECONDS / 2,
-        );
+        expect(
+          fleet.runUntil(() => fleet.commonVersion() === version),
+        ).toBeLessThan(CONFIGURATION_MILLISECONDS / 2);
         fleet.run(1300);
       }
     },
   );
 
   it('of the boxes reaches all nodes in time', () => {
-    const fleet = new FleetWorld({boxes: 40, dataCentres: 3, seed: 5});
+    const fleet = new FleetSimulation({boxes: 40, dataCentres: 3, seed: 5});
     fleet.run(10_000);
     fleet.addBox();
-    const elapsed = fleet.runUntil(() => fleet.everyoneKnows(41));
+    const elapsed = fleet.runUntil(() => fleet.isEveryBoxKnown(41));
     expect(elapsed).toBeLessThan(NEW_BOX_MILLISECONDS);
   });
 
   it('is heard by those whose readers died at that very moment', () => {
     for (let seed = 1; seed <= 20; seed += 1) {
-      const fleet = new FleetWorld({boxes: 30, dataCentres: 3, seed});
+      const fleet = new FleetSimulation({boxes: 30, dataCentres: 3, seed});
       fleet.run(10_000 + seed * 77);
       fleet.publish(2);
       fleet.readersOf('d1').forEach((box) => fleet.kill(box));
-      const elapsed = fleet.runUntil(() => fleet.versions() === 2);
+      const elapsed = fleet.runUntil(() => fleet.commonVersion() === 2);
       expect(elapsed).toBeLessThan(CONFIGURATION_MILLISECONDS);
     }
   });
 
   it('is heard by those whose readers are silent, and by one that is cut one way', () => {
-    const fleet = new FleetWorld({boxes: 30, dataCentres: 3, seed: 4});
+    const fleet = new FleetSimulation({boxes: 30, dataCentres: 3, seed: 4});
     fleet.run(10_000);
     const [first = '', second = ''] = fleet.readersOf('d1');
-    fleet.cut(first, 'outgoing');
-    fleet.cut(second, 'incoming');
+    fleet.dropPackets(first, 'outgoing');
+    fleet.dropPackets(second, 'incoming');
     fleet.publish(2);
-    const rest = fleet.names().filter((box) => box !== first && box !== second);
-    const elapsed = fleet.runUntil(() => fleet.versions(rest) === 2);
+    const rest = fleet
+      .boxNames()
+      .filter((box) => box !== first && box !== second);
+    const elapsed = fleet.runUntil(() => fleet.commonVersion(rest) === 2);
     expect(elapsed).toBeLessThan(CONFIGURATION_MILLISECONDS);
     fleet.run(3000);
     expect(fleet.readersOf('d1').length).toBeGreaterThanOrEqual(
@@ -98,7 +100,7 @@
 
 describe('readers', () => {
   it('are replaced when they leave or fail permanently', () => {
-    const fleet = new FleetWorld({boxes: 30, dataCentres: 3, seed: 6});
+    const fleet = new FleetSimulation({boxes: 30, dataCentres: 3, seed: 6});
     fleet.run(10_000);
     const [first = '', second = ''] = fleet.readersOf('d2');
     fleet.leave(first);
@@ -109,55 +111,55 @@
     expect(now).not.toContain(second);
     expect(now.length).toBeGreaterThanOrEqual(READERS_PER_DATA_CENTRE);
     fleet.publish(2);
-    const alive = fleet.names().filter((box) => box !== second);
-    const elapsed = fleet.runUntil(() => fleet.versions(alive) === 2);
+    const alive = fleet.boxNames().filter((box) => box !== second);
+    const elapsed = fleet.runUntil(() => fleet.commonVersion(alive) === 2);
     expect(elapsed).toBeLessThan(CONFIGURATION_MILLISECONDS);
   });
 
   it('are others while the store turns them away', () => {
-    const fleet = new FleetWorld({boxes: 40, dataCentres: 2, seed: 8});
+    const fleet = new FleetSimulation({boxes: 40, dataCentres: 2, seed: 8});
     fleet.run(10_000);
     const refused = [...fleet.readersOf('d1'), ...fleet.readersOf('d2')];
-    refused.forEach((box) => fleet.turnAway(box));
+    refused.forEach((box) => fleet.refuseStoreCalls(box));
     fleet.run(4000);
     fleet.publish(2);
-    const elapsed = fleet.runUntil(() => fleet.versions() === 2);
+    const elapsed = fleet.runUntil(() => fleet.commonVersion() === 2);
     expect(elapsed).toBeLessThan(CONFIGURATION_MILLISECONDS);
   });
 
   it('stay few while the store is down, and all nodes update once it is back', () => {
-    const fleet = new FleetWorld({boxes: 60, dataCentres: 2, seed: 9});
+    const fleet = new FleetSimulation({boxes: 60, dataCentres: 2, seed: 9});
     fleet.run(10_000);
-    fleet.storeIsDown = true;
+    fleet.isStoreDown = true;
     fleet.run(5000);
     const before = fleet.storeCalls;
     fleet.run(4000);
     // Six nodes per data centre, each at most every half second.
     expect(fleet.storeCalls - before).toBeLessThan(2 * 6 * 2 * 8);
-    fleet.storeIsDown = false;
+    fleet.isStoreDown = false;
     fleet.publish(2);
-    const elapsed = fleet.runUntil(() => fleet.versions() === 2);
+    const elapsed = fleet.runUntil(() => fleet.commonVersion() === 2);
     expect(elapsed).toBeLessThan(CONFIGURATION_MILLISECONDS);
   });
 
   it('are found again after all boxes lost their power at once', () => {
-    const fleet = new FleetWorld({boxes: 40, dataCentres: 2, seed: 10});
+    const fleet = new FleetSimulation({boxes: 40, dataCentres: 2, seed: 10});
     fleet.run(10_000);
-    fleet.names().forEach((box) => fleet.kill(box));
+    fleet.boxNames().forEach((box) => fleet.kill(box));
     fleet.run(1000);
     fleet.publish(2);
     const before = fleet.storeCalls;
-    fleet.names().forEach((box) => fleet.restart(box));
-    const elapsed = fleet.runUntil(() => fleet.versions() === 2);
+    fleet.boxNames().forEach((box) => fleet.restart(box));
+    const elapsed = fleet.runUntil(() => fleet.commonVersion() === 2);
     expect(elapsed).toBeLessThan(CONFIGURATION_MILLISECONDS);
     fleet.run(10_000);
-    expect(fleet.everyoneKnows(40)).toBe(true);
+    expect(fleet.isEveryBoxKnown(40)).toBe(true);
     expect(fleet.storeCalls - before).toBeLessThan(40 * 4);
   });
 
   it('may differ between nodes that know different boxes, and all nodes still update', () => {
     for (let seed = 1; seed <= 10; seed += 1) {
-      const fleet = new FleetWorld({boxes: 24, dataCentres: 3, seed});
+      const fleet = new FleetSimulation({boxes: 24, dataCentres: 3, seed});
       fleet.run(3000);
       // Only some nodes learn of the new boxes at first, since the readers die.
       fleet.addBox();
@@ -166,27 +168,27 @@
       fleet.run(6000);
       fleet.publish(2);
       const alive = fleet.alive();
-      const elapsed = fleet.runUntil(() => fleet.versions(alive) === 2);
+      const elapsed = fleet.runUntil(() => fleet.commonVersion(alive) === 2);
       expect(elapsed).toBeLessThan(CONFIGURATION_MILLISECONDS);
       fleet.run(6000);
-      expect(fleet.everyoneKnows(26)).toBe(true);
+      expect(fleet.isEveryBoxKnown(26)).toBe(true);
     }
   });
 });
 
 /** Injects one fault or change, chosen at random. */
-function injectFault(fleet: FleetWorld, random: RandomSource): void {
-  const names = fleet.names();
+function injectFault(fleet: FleetSimulation, random: RandomSource): void {
+  const names = fleet.boxNames();
   const box = names[Math.floor(random() * names.length)] ?? '';
   const faults = [
     () => fleet.kill(box),
     () => fleet.isUp(box) || fleet.restart(box),
-    () => fleet.cut(box, 'incoming'),
-    () => fleet.cut(box, 'outgoing'),
-    () => fleet.turnAway(box),
-    () => fleet.readers().forEach((reader) => fleet.turnAway(reader)),
+    () => fleet.dropPackets(box, 'incoming'),
+    () => fleet.dropPackets(box, 'outgoing'),
+    () => fleet.refuseStoreCalls(box),
+    () => fleet.readers().forEach((reader) => fleet.refuseStoreCalls(reader)),
     () => fleet.readersOf('d1').forEach((reader) => fleet.kill(reader)),
-    () => (fleet.storeIsDown = !fleet.storeIsDown),
+    () => (fleet.isStoreDown = !fleet.isStoreDown),
     () => fleet.addBox(),
     // No node needs a box that drains before it has ever taken work.
     () => fleet.isStored(box) && fleet.drain(box),
@@ -199,7 +201,7 @@
 
   it.each(seeds)('converges soon after the faults end: seed %i', (seed) => {
     const random = seededRandom(seed);
-    const fleet = new FleetWorld({boxes: 18, dataCentres: 3, seed});
+    const fleet = new FleetSimulation({boxes: 18, dataCentres: 3, seed});
     fleet.run(5000);
     let version = 1;
     for (let i = 0; i < 25; i += 1) {
@@ -211,10 +213,12 @@
       fleet.run(random() * 800);
     }
     fleet.heal();
-    const elapsed = fleet.runUntil(() => fleet.versions() === version);
+    const elapsed = fleet.runUntil(() => fleet.commonVersion() === version);
     expect(elapsed).toBeLessThan(2 * CONFIGURATION_MILLISECONDS);
-    const boxes = fleet.names().length;
-    expect(fleet.runUntil(() => fleet.everyoneKnows(boxes))).toBeLessThan(8000);
+    const boxes = fleet.boxNames().length;
+    expect(fleet.runUntil(() => fleet.isEveryBoxKnown(boxes))).toBeLessThan(
+      8000,
+    );
     expect(fleet.runUntil(() => fleet.readers().length <= 6)).toBeLessThan(
       35_000,
     );
@@ -223,24 +227,24 @@
 
 describe('a box whose store calls fail', () => {
   it('is still known, through the readers that it queries', () => {
-    const fleet = new FleetWorld({boxes: 30, dataCentres: 2, seed: 12});
+    const fleet = new FleetSimulation({boxes: 30, dataCentres: 2, seed: 12});
     fleet.run(10_000);
-    const [box = ''] = fleet.names().filter((name) => !fleet.isReader(name));
-    fleet.turnAway(box);
+    const [box = ''] = fleet.boxNames().filter((name) => !fleet.isReader(name));
+    fleet.refuseStoreCalls(box);
     fleet.drain(box);
-    const elapsed = fleet.runUntil(() => fleet.isDrainedFor(box, 'd1'));
+    const elapsed = fleet.runUntil(() => fleet.isDrainKnownIn(box, 'd1'));
     expect(elapsed).toBeLessThan(NEW_BOX_MILLISECONDS);
   });
 
   it('writes again when an earlier write is applied late', () => {
-    const fleet = new FleetWorld({boxes: 12, dataCentres: 2, seed: 13});
+    const fleet = new FleetSimulation({boxes: 12, dataCentres: 2, seed: 13});
     fleet.run(10_000);
-    const [box = ''] = fleet.names().filter((name) => !fleet.isReader(name));
-    const oldRecord = fleet.stored(box);
+    const [box = ''] = fleet.boxNames().filter((name) => !fleet.isReader(name));
+    const oldRecord = fleet.storedRecord(box);
     fleet.drain(box);
     fleet.run(2000);
-    fleet.writeLate(oldRecord);
+    fleet.applyLateWrite(oldRecord);
     fleet.run(4000);
-    expect(fleet.storedNewest(box)?.takesWork).toBe(false);
+    expect(fleet.storedBoxRecord(box)?.takesWork).toBe(false);
   });
 });
--- a/packages/fleet/src/__tests__/runRelay.test.ts
+++ b/packages/fleet/src/__tests__/relayTree.test.ts
@@ -9,7 +9,7 @@
 import type {BoxRecord} from '../boxRecord.js';
 import {preferredReaders} from '../readerSelection.js';
 import {RelayTree} from '../relayTree.js';
-import {FleetWorld} from './__fixtures__/fleetWorld.js';
+import {FleetSimulation} from './__fixtures__/fleetSimulation.js';
 
 /** Two trees, in each of which a node has at most three children. */
 const MAXIMUM_CHILDREN = 6;
@@ -130,14 +130,16 @@
 describe('a fleet without some of its nodes', () => {
   it('quarantines a request on all others in time', () => {
     for (let seed = 1; seed <= 10; seed += 1) {
-      const fleet = new FleetWorld({boxes: 90, dataCentres: 2, seed});
+      const fleet = new FleetSimulation({boxes: 90, dataCentres: 2, seed});
       fleet.run(10_000);
       const readers = fleet.readers();
-      const others = fleet.names().filter((box) => !readers.includes(box));
+      const others = fleet.boxNames().filter((box) => !readers.includes(box));
       others.filter((_, i) => i % 10 === 3).forEach((box) => fleet.kill(box));
       const alive = fleet.alive();
       [2, 17, 41].forEach((i) => fleet.crash(alive[i] ?? '', 'bad'));
-      const elapsed = fleet.runUntil(() => fleet.everyoneKeepsOut('bad'));
+      const elapsed = fleet.runUntil(() =>
+        fleet.isQuarantinedEverywhere('bad'),
+      );
       expect(elapsed).toBeLessThan(CATCH_UP_MILLISECONDS);
     }
   });
--- a/packages/fleet/src/__tests__/restoredStore.test.ts
+++ b/packages/fleet/src/__tests__/restoredStore.test.ts
@@ -9,7 +9,7 @@
 import {describe, expect, it} from 'vitest';
 import type {RandomSource} from '@lockpin/types';
 import {seededRandom} from '@lockpin/utils';
-import {FleetWorld} from './__fixtures__/fleetWorld.js';
+import {FleetSimulation} from './__fixtures__/fleetSimulation.js';
 
 /** A confirmed change is in force everywhere within this time. */
 const CONFIGURATION_MILLISECONDS = 2000;
@@ -27,8 +27,8 @@
 const SEEDS = Array.from({length: 15}, (_, i) => i + 1);
 
 /** A fleet that has run for 10 to 18 s, depending on the seed. */
-function createFleet(size: Size, seed: number): FleetWorld {
-  const fleet = new FleetWorld({...size, seed});
+function createFleet(size: Size, seed: number): FleetSimulation {
+  const fleet = new FleetSimulation({...size, seed});
   fleet.run(10_000 + seededRandom(seed)() * 8000);
   return fleet;
 }
@@ -56,7 +56,9 @@
             fleet.run(10);
           }
           const newest = 5 + changes;
-          const elapsed = fleet.runUntil(() => fleet.versions() === newest);
+          const elapsed = fleet.runUntil(
+            () => fleet.commonVersion() === newest,
+          );
           if (elapsed > CONFIGURATION_MILLISECONDS) {
             late.push({seed, changes, elapsed});
           }
@@ -73,16 +75,16 @@
     (size) => {
       for (const seed of SEEDS) {
         const fleet = createFleet(size, seed);
-        const [first = '', second = ''] = fleet.names();
+        const [first = '', second = ''] = fleet.boxNames();
         fleet.drain(first);
         fleet.addBox();
         fleet.run(2500);
-        expect(fleet.everyoneIsStored()).toBe(true);
+        expect(fleet.isEveryBoxStored()).toBe(true);
         fleet.restoreStore(2600);
-        expect(fleet.everyoneIsStored()).toBe(false);
+        expect(fleet.isEveryBoxStored()).toBe(false);
         const before = fleet.storedCount('boxes');
         fleet.drain(second);
-        const elapsed = fleet.runUntil(() => fleet.everyoneIsStored());
+        const elapsed = fleet.runUntil(() => fleet.isEveryBoxStored());
         expect(elapsed).toBeLessThan(RECORD_MILLISECONDS);
         fleet.run(20_000);
         // The two drained boxes and the new one.
@@ -93,7 +95,7 @@
 
   it('are written again by all boxes where all are lost, not all at once', () => {
     const size = {boxes: 60, dataCentres: 3};
-    const fleet = new FleetWorld({...size, seed: 3});
+    const fleet = new FleetSimulation({...size, seed: 3});
     fleet.run(4000);
     fleet.restoreStore(4000);
     expect(fleet.storedCount('boxes')).toBe(0);
@@ -103,7 +105,7 @@
       fleet.run(100);
       maximum = Math.max(maximum, fleet.storedCount('boxes') - before);
     }
-    expect(fleet.everyoneIsStored()).toBe(true);
+    expect(fleet.isEveryBoxStored()).toBe(true);
     expect(fleet.storedCount('boxes')).toBe(size.boxes);
     expect(maximum).toBeLessThan(size.boxes / 2);
   });
@@ -117,20 +119,20 @@
   it('is kept out after a restore, the death of one box and the restart of all', () => {
     for (const seed of SEEDS) {
       const fleet = createFleet({boxes: 21, dataCentres: 3}, seed);
-      const [first = '', second = '', third = ''] = fleet.names();
+      const [first = '', second = '', third = ''] = fleet.boxNames();
       for (const box of [first, second, third]) {
         fleet.crash(box, 'deadly');
         fleet.run(500);
       }
-      expect(fleet.everyoneKeepsOut('deadly')).toBe(true);
+      expect(fleet.isQuarantinedEverywhere('deadly')).toBe(true);
       fleet.kill(second);
       fleet.restoreStore(2000);
       fleet.run(20_000);
-      fleet.names().forEach((box) => fleet.kill(box));
+      fleet.boxNames().forEach((box) => fleet.kill(box));
       fleet.run(1000);
-      fleet.names().forEach((box) => box === second || fleet.restart(box));
+      fleet.boxNames().forEach((box) => box === second || fleet.restart(box));
       fleet.run(5000);
-      expect(fleet.everyoneKeepsOut('deadly')).toBe(true);
+      expect(fleet.isQuarantinedEverywhere('deadly')).toBe(true);
     }
   });
 });
@@ -142,13 +144,13 @@
       fleet.publish(2);
       fleet.run(1000);
       fleet.restoreStore(1100);
-      const names = fleet.names();
+      const names = fleet.boxNames();
       const box = names[seed % names.length] ?? '';
       fleet.kill(box);
       fleet.restart(box);
       fleet.addBox();
       fleet.run(3000);
-      expect(fleet.versions()).toBe(2);
+      expect(fleet.commonVersion()).toBe(2);
       expect(fleet.olderInForce).toEqual([]);
     }
   });
@@ -158,30 +160,30 @@
     fleet.publish(2);
     fleet.run(1000);
     fleet.restoreStore(1100);
-    const [box = ''] = fleet.names();
+    const [box = ''] = fleet.boxNames();
     fleet.kill(box);
-    fleet.cut(box, 'outgoing');
+    fleet.dropPackets(box, 'outgoing');
     fleet.restart(box);
-    expect(fleet.runUntil(() => fleet.versions([box]) === 1)).toBeLessThan(
+    expect(fleet.runUntil(() => fleet.commonVersion([box]) === 1)).toBeLessThan(
       CONFIGURATION_MILLISECONDS,
     );
   });
 });
 
 /** Injects one fault, change or store restore, chosen at random. */
-function injectFault(fleet: FleetWorld, random: RandomSource): void {
-  const names = fleet.names();
+function injectFault(fleet: FleetSimulation, random: RandomSource): void {
+  const names = fleet.boxNames();
   const box = names[Math.floor(random() * names.length)] ?? '';
   const faults = [
     () => fleet.restoreStore(random() * 4000),
     () => fleet.restoreStore(random() * 4000),
-    () => fleet.silenceStore(),
-    () => fleet.letStoreSpeak(),
+    () => fleet.hangStore(),
+    () => fleet.resumeStore(),
     () => fleet.kill(box),
     () => fleet.isUp(box) || fleet.restart(box),
-    () => fleet.cut(box, 'incoming'),
-    () => fleet.cut(box, 'outgoing'),
-    () => fleet.turnAway(box),
+    () => fleet.dropPackets(box, 'incoming'),
+    () => fleet.dropPackets(box, 'outgoing'),
+    () => fleet.refuseStoreCalls(box),
     () => fleet.addBox(),
     () => fleet.isStored(box) && fleet.drain(box),
   ];
@@ -191,7 +193,7 @@
 /** Milliseconds until a fleet converges after a period of random faults. */
 function convergenceAfterFaults(seed: number) {
   const random = seededRandom(seed);
-  const fleet = new FleetWorld({boxes: 18, dataCentres: 3, seed});
+  const fleet = new FleetSimulation({boxes: 18, dataCentres: 3, seed});
   fleet.run(5000);
   let version = 1;
   for (let i = 0; i < 25; i += 1) {
@@ -205,10 +207,10 @@
   fleet.heal();
   // Operators repeat the change that may be lost.
   fleet.publish(version);
-  const inForce = fleet.runUntil(() => fleet.versions() === version);
-  const boxes = fleet.names().length;
-  const known = fleet.runUntil(() => fleet.everyoneKnows(boxes));
-  const stored = fleet.runUntil(() => fleet.everyoneIsStored());
+  const inForce = fleet.runUntil(() => fleet.commonVersion() === version);
+  const boxes = fleet.boxNames().length;
+  const known = fleet.runUntil(() => fleet.isEveryBoxKnown(boxes));
+  const stored = fleet.runUntil(() => fleet.isEveryBoxStored());
   return {inForce, known, stored};
 }
 
--- a/packages/fleet/src/__tests__/silentStore.test.ts
+++ b/packages/fleet/src/__tests__/silentStore.test.ts
@@ -14,7 +14,7 @@
 
 import {describe, expect, it} from 'vitest';
 import {seededRandom} from '@lockpin/utils';
-import {FleetWorld} from './__fixtures__/fleetWorld.js';
+import {FleetSimulation} from './__fixtures__/fleetSimulation.js';
 
 /** A confirmed change is in force everywhere within this time. */
 const CONFIGURATION_MILLISECONDS = 2000;
@@ -39,18 +39,18 @@
   seed: number,
 ): number {
   const random = seededRandom(seed);
-  const fleet = new FleetWorld({...size, seed});
+  const fleet = new FleetSimulation({...size, seed});
   fleet.run(10_000 + random() * 8000);
-  fleet.silenceStore();
+  fleet.hangStore();
   fleet.run(hangMilliseconds);
-  fleet.letStoreSpeak();
+  fleet.resumeStore();
   fleet.run(random() * 500);
   for (let version = 2; version < 2 + CHANGE_COUNT; version += 1) {
     fleet.publish(version);
     fleet.run(BETWEEN_CHANGES_MILLISECONDS);
   }
   const newest = 1 + CHANGE_COUNT;
-  const elapsed = fleet.runUntil(() => fleet.versions() === newest);
+  const elapsed = fleet.runUntil(() => fleet.commonVersion() === newest);
   return BETWEEN_CHANGES_MILLISECONDS + elapsed;
 }
 
--- a/packages/fleet/src/__tests__/storeTalk.test.ts
+++ b/packages/fleet/src/__tests__/storeTalk.test.ts
@@ -4,23 +4,23 @@
 import {describe, expect, it} from 'vitest';
 import {RECORD_RENEWAL_MILLISECONDS, serializeBoxRecord} from '../boxRecord.js';
 import {
-  BrainWorld,
+  StateMachineHarness,
   IDENTITY,
-  NEAR,
-  WRITTEN,
+  LOCAL_PEER_ADDRESS,
+  WRITE_SUCCESS,
   kinds,
-  other,
-  stored,
-} from './__fixtures__/brainWorld.js';
+  otherBoxRecord,
+  configurationRecord,
+} from './__fixtures__/stateMachineHarness.js';
 
 describe('reading the store', () => {
   it('follows from the end of the newest records', () => {
-    const harness = new BrainWorld();
+    const harness = new StateMachineHarness();
     expect(kinds(harness.tick())).toEqual(['read-newest', 'read-newest']);
-    harness.read('boxes', []);
-    harness.announceAsReader();
+    harness.completeRead('boxes', []);
+    harness.becomeReader();
     const follow = harness
-      .read('configuration', [], 42)
+      .completeRead('configuration', [], 42)
       .find(({kind}) => kind === 'follow');
     expect(follow).toMatchObject({
       stream: 'configuration',
@@ -29,21 +29,21 @@
   });
 
   it('reads the newest record of each key again when the history is gone', () => {
-    const harness = new BrainWorld();
+    const harness = new StateMachineHarness();
     harness.tick();
-    harness.read('boxes', []);
-    harness.announceAsReader();
-    harness.read('configuration', [], 42);
-    expect(kinds(harness.fail('configuration', 'history-gone'))).toContain(
+    harness.completeRead('boxes', []);
+    harness.becomeReader();
+    harness.completeRead('configuration', [], 42);
+    expect(kinds(harness.failRead('configuration', 'history-gone'))).toContain(
       'read-newest',
     );
   });
 
   it('backs off after each failure, for at most a second and a half', () => {
-    const harness = new BrainWorld();
+    const harness = new StateMachineHarness();
     harness.tick();
     for (let i = 0; i < 8; i += 1) {
-      expect(kinds(harness.fail('boxes', 'unavailable'))).not.toContain(
+      expect(kinds(harness.failRead('boxes', 'unavailable'))).not.toContain(
         'read-newest',
       );
       expect(kinds(harness.tick(1500))).toContain('read-newest');
@@ -51,17 +51,17 @@
   });
 
   it('logs the loss of the store once, and its recovery once', () => {
-    const harness = new BrainWorld();
+    const harness = new StateMachineHarness();
     harness.tick();
-    harness.read('configuration', []);
+    harness.completeRead('configuration', []);
     const logged = [
-      ...harness.fail('boxes', 'unavailable'),
+      ...harness.failRead('boxes', 'unavailable'),
       ...harness.tick(2000),
-      ...harness.fail('boxes', 'unavailable'),
+      ...harness.failRead('boxes', 'unavailable'),
       ...harness.tick(2000),
-      ...harness.fail('boxes', 'unavailable'),
+      ...harness.failRead('boxes', 'unavailable'),
       ...harness.tick(2000),
-      ...harness.read('boxes', []),
+      ...harness.completeRead('boxes', []),
     ].flatMap((action) => (action.kind === 'log-event' ? [action.event] : []));
     expect(logged).toEqual(['store-lost', 'store-regained']);
   });
@@ -69,9 +69,9 @@
 
 describe('a read that the store does not answer', () => {
   it('is logged with its duration, and followed by a short one within a second', () => {
-    const harness = new BrainWorld();
+    const harness = new StateMachineHarness();
     harness.tick();
-    harness.read('boxes', []);
+    harness.completeRead('boxes', []);
     const actions = [
       harness.tick(600),
       harness.tick(200),
@@ -91,35 +91,39 @@
   });
 
   it('is still used when its answer arrives late', () => {
-    const harness = new BrainWorld();
+    const harness = new StateMachineHarness();
     harness.tick();
-    harness.read('boxes', []);
+    harness.completeRead('boxes', []);
     harness.tick(600);
     harness.tick(400);
     const page = {
-      records: [stored(3)],
+      records: [configurationRecord(3)],
       end: {era: 1, offset: 1},
       isWhole: true,
     };
-    const late = harness.tell({
+    const late = harness.handle({
       kind: 'read-ended',
       stream: 'configuration',
       read: 1,
       result: {ok: true, value: page, era: 1},
     });
     expect(kinds(late)).toContain('configuration-changed');
-    expect(harness.brain.readerRole.storeAge(harness.now)).toBe(0);
+    expect(harness.stateMachine.readerRole.storeAge(harness.now)).toBe(0);
   });
 
   it('is detected by the report of a peer, and a second read is started', () => {
-    const harness = new BrainWorld();
+    const harness = new StateMachineHarness();
     harness.tick();
-    harness.read('configuration', [stored(1)]);
-    harness.read('boxes', []);
-    harness.announceAsReader();
+    harness.completeRead('configuration', [configurationRecord(1)]);
+    harness.completeRead('boxes', []);
+    harness.becomeReader();
     harness.tick(200);
     harness.now += 1000;
-    harness.tell({kind: 'peer-version-reported', address: NEAR, version: 2});
+    harness.handle({
+      kind: 'peer-version-reported',
+      address: LOCAL_PEER_ADDRESS,
+      version: 2,
+    });
     expect(harness.tick(200)).toContainEqual(
       expect.objectContaining({
         kind: 'follow',
@@ -138,7 +142,7 @@
     result: {
       ok: true as const,
       value: {
-        records: [stored(version)],
+        records: [configurationRecord(version)],
         end: {era, offset: 9},
         isWhole: false,
       },
@@ -147,12 +151,12 @@
   });
 
   it('of a newer era ends all reads, and all is read anew at once', () => {
-    const harness = new BrainWorld();
-    harness.start([stored(1)]);
-    harness.announceAsReader();
+    const harness = new StateMachineHarness();
+    harness.start([configurationRecord(1)]);
+    harness.becomeReader();
     harness.tick(200);
-    harness.tell(page(2, 1));
-    const actions = harness.tell(page(3, 2));
+    harness.handle(page(2, 1));
+    const actions = harness.handle(page(3, 2));
     expect(actions).toContainEqual({
       kind: 'log-event',
       event: 'store-restored',
@@ -164,20 +168,20 @@
         action.kind === 'read-newest' ? [action.stream] : [],
       ),
     ).toEqual(['configuration', 'boxes']);
-    expect(harness.brain.version).toBe(3);
+    expect(harness.stateMachine.version).toBe(3);
   });
 
   it('that holds a complete older configuration changes nothing, and is logged', () => {
-    const harness = new BrainWorld();
-    harness.start([stored(4)]);
-    const older = harness.tell({
+    const harness = new StateMachineHarness();
+    harness.start([configurationRecord(4)]);
+    const older = harness.handle({
       kind: 'read-ended',
       stream: 'configuration',
       read: 0,
       result: {
         ok: true,
         value: {
-          records: [stored(3)],
+          records: [configurationRecord(3)],
           end: {era: 1, offset: 3},
           isWhole: true,
         },
@@ -190,37 +194,37 @@
       subject: '3',
       detail: {version: 4},
     });
-    expect(harness.brain.version).toBe(4);
+    expect(harness.stateMachine.version).toBe(4);
   });
 
   it('of an earlier era changes nothing, and is noted', () => {
-    const harness = new BrainWorld();
-    harness.start([stored(1)]);
-    harness.tell(page(2, 2));
-    const late = harness.tell(page(7, 1));
+    const harness = new StateMachineHarness();
+    harness.start([configurationRecord(1)]);
+    harness.handle(page(2, 2));
+    const late = harness.handle(page(7, 1));
     expect(late).toContainEqual({
       kind: 'log-event',
       event: 'store-answer-outdated',
       subject: 'configuration',
       detail: {era: 1, known: 2},
     });
-    expect(harness.brain.version).toBe(2);
+    expect(harness.stateMachine.version).toBe(2);
   });
 
   it('to a write, of an earlier era, causes the record to be written again', () => {
-    const harness = new BrainWorld();
-    harness.start([stored(1)]);
+    const harness = new StateMachineHarness();
+    harness.start([configurationRecord(1)]);
     harness.announce();
-    harness.tell(page(2, 2));
-    harness.tell({kind: 'write-ended', result: WRITTEN});
+    harness.handle(page(2, 2));
+    harness.handle({kind: 'write-ended', result: WRITE_SUCCESS});
     expect(kinds(harness.tick(500))).toContain('write');
   });
 
   it('that refuses a call also reports a newer era', () => {
-    const harness = new BrainWorld();
-    harness.start([stored(1)]);
+    const harness = new StateMachineHarness();
+    harness.start([configurationRecord(1)]);
     const failure = {kind: 'unavailable', detail: 'busy'} as const;
-    const actions = harness.tell({
+    const actions = harness.handle({
       kind: 'write-ended',
       result: {ok: false, failure, era: 5},
     });
@@ -232,30 +236,32 @@
 
 describe('the own record', () => {
   it('is written once the upstream has announced itself', () => {
-    const harness = new BrainWorld();
+    const harness = new StateMachineHarness();
     harness.tick();
-    harness.read('boxes', []);
+    harness.completeRead('boxes', []);
     const actions = harness.announce();
     expect(kinds(actions)).toEqual(['upstream-changed', 'write']);
-    harness.tell({kind: 'write-ended', result: WRITTEN});
+    harness.handle({kind: 'write-ended', result: WRITE_SUCCESS});
     expect(kinds(harness.tick(1000))).not.toContain('write');
   });
 
   it('is not written again by a restart that changes nothing', () => {
-    const harness = new BrainWorld();
+    const harness = new StateMachineHarness();
     harness.tick();
-    const before = other({...IDENTITY, statedAt: 900});
-    harness.read('boxes', [{key: 'b1', value: serializeBoxRecord(before)}]);
+    const before = otherBoxRecord({...IDENTITY, statedAt: 900});
+    harness.completeRead('boxes', [
+      {key: 'b1', value: serializeBoxRecord(before)},
+    ]);
     expect(kinds(harness.announce())).toEqual(['upstream-changed']);
   });
 
   it('is written again when the answer was lost and the store lacks it', () => {
-    const harness = new BrainWorld();
+    const harness = new StateMachineHarness();
     harness.tick();
-    harness.read('boxes', []);
+    harness.completeRead('boxes', []);
     harness.announce();
     const failure = {kind: 'outcome-unknown', detail: ''} as const;
-    harness.tell({
+    harness.handle({
       kind: 'write-ended',
       result: {ok: false, failure, era: undefined},
     });
@@ -268,15 +274,15 @@
    * for the store's answer, boxes that start later never learn of it.
    */
   it('is written although peers report it, until the store has accepted it', () => {
-    const harness = new BrainWorld();
+    const harness = new StateMachineHarness();
     harness.tick();
-    harness.read('boxes', []);
+    harness.completeRead('boxes', []);
     harness.announce();
     const failure = {kind: 'unavailable', detail: ''} as const;
-    harness.tell({kind: 'write-ended', result: {ok: false, failure}});
-    const own = harness.brain.directory.get('b1');
+    harness.handle({kind: 'write-ended', result: {ok: false, failure}});
+    const own = harness.stateMachine.directory.get('b1');
     expect(own).toBeDefined();
-    harness.tell({
+    harness.handle({
       kind: 'update-received',
       news: {kind: 'boxes', boxes: own === undefined ? [] : [own]},
     });
@@ -284,39 +290,41 @@
   });
 
   it('is written again when an older write was applied after a newer one', () => {
-    const harness = new BrainWorld();
+    const harness = new StateMachineHarness();
     harness.tick();
-    harness.read('boxes', []);
+    harness.completeRead('boxes', []);
     harness.announce();
-    harness.tell({kind: 'write-ended', result: WRITTEN});
+    harness.handle({kind: 'write-ended', result: WRITE_SUCCESS});
     harness.now += 100;
     harness.announce({state: 'draining', sequence: 2});
-    harness.tell({kind: 'write-ended', result: WRITTEN});
-    const late = other({...IDENTITY, takesWork: true, statedAt: 1000});
-    const actions = harness.read('boxes', [
+    harness.handle({kind: 'write-ended', result: WRITE_SUCCESS});
+    const late = otherBoxRecord({...IDENTITY, takesWork: true, statedAt: 1000});
+    const actions = harness.completeRead('boxes', [
       {key: 'b1', value: serializeBoxRecord(late)},
     ]);
     expect(kinds(actions)).toContain('write');
   });
 
   it('reports that no work is taken if no upstream announces itself after a restart', () => {
-    const harness = new BrainWorld();
+    const harness = new StateMachineHarness();
     harness.tick();
-    const before = other({...IDENTITY, statedAt: 900});
-    harness.read('boxes', [{key: 'b1', value: serializeBoxRecord(before)}]);
+    const before = otherBoxRecord({...IDENTITY, statedAt: 900});
+    harness.completeRead('boxes', [
+      {key: 'b1', value: serializeBoxRecord(before)},
+    ]);
     expect(kinds(harness.tick(5000))).not.toContain('write');
     expect(kinds(harness.tick(2000))).toContain('write');
-    expect(harness.brain.directory.get('b1')?.takesWork).toBe(false);
-    harness.tell({kind: 'write-ended', result: WRITTEN});
+    expect(harness.stateMachine.directory.get('b1')?.takesWork).toBe(false);
+    harness.handle({kind: 'write-ended', result: WRITE_SUCCESS});
     expect(kinds(harness.announce())).toEqual(['upstream-changed', 'write']);
   });
 
   it('is renewed before it expires', () => {
-    const harness = new BrainWorld();
+    const harness = new StateMachineHarness();
     harness.tick();
-    harness.read('boxes', []);
+    harness.completeRead('boxes', []);
     harness.announce();
-    harness.tell({kind: 'write-ended', result: WRITTEN});
+    harness.handle({kind: 'write-ended', result: WRITE_SUCCESS});
     expect(kinds(harness.tick(RECORD_RENEWAL_MILLISECONDS + 1))).toContain(
       'write',
     );
--- a/packages/fleet/src/__tests__/suspectRequests.test.ts
+++ b/packages/fleet/src/__tests__/suspectRequests.test.ts
@@ -7,7 +7,7 @@
  */
 
 import {describe, expect, it} from 'vitest';
-import {FleetWorld} from './__fixtures__/fleetWorld.js';
+import {FleetSimulation} from './__fixtures__/fleetSimulation.js';
 
 /** Three hops: to the local readers, the remote readers and their followers. */
 const PROPAGATION_MILLISECONDS = 50;
@@ -15,14 +15,14 @@
 /** Time to detect a dead reader and to replace it by another. */
 const READER_REPLACEMENT_MILLISECONDS = 3500;
 
-function createFleet(boxes: number, seed: number): FleetWorld {
-  const fleet = new FleetWorld({boxes, dataCentres: 3, seed});
+function createFleet(boxes: number, seed: number): FleetSimulation {
+  const fleet = new FleetSimulation({boxes, dataCentres: 3, seed});
   fleet.run(10_000);
   return fleet;
 }
 
 /** The request crashes the upstreams of three boxes, one after the other. */
-function crashThree(fleet: FleetWorld, boxes = fleet.alive()): void {
+function crashThree(fleet: FleetSimulation, boxes = fleet.alive()): void {
   const third = Math.floor(boxes.length / 3);
   for (const box of [boxes[0], boxes[third], boxes[2 * third]]) {
     fleet.crash(box ?? '', 'bad');
@@ -34,18 +34,18 @@
   it.each([20, 60, 150])('is kept out by all of %i boxes at once', (boxes) => {
     const fleet = createFleet(boxes, 3);
     crashThree(fleet);
-    const elapsed = fleet.runUntil(() => fleet.everyoneKeepsOut('bad'));
+    const elapsed = fleet.runUntil(() => fleet.isQuarantinedEverywhere('bad'));
     expect(elapsed).toBeLessThan(PROPAGATION_MILLISECONDS);
-    expect(fleet.everyoneKeepsOut('other')).toBe(false);
+    expect(fleet.isQuarantinedEverywhere('other')).toBe(false);
   });
 
   it('is not kept out after two crashes', () => {
     const fleet = createFleet(12, 4);
-    const [first = '', second = ''] = fleet.names();
+    const [first = '', second = ''] = fleet.boxNames();
     fleet.crash(first, 'bad');
     fleet.crash(second, 'bad');
     fleet.run(5000);
-    expect(fleet.everyoneKeepsOut('bad')).toBe(false);
+    expect(fleet.isQuarantinedEverywhere('bad')).toBe(false);
   });
 
   it('is kept out soon where the readers die with it', () => {
@@ -54,20 +54,22 @@
       const readers = fleet.readers();
       crashThree(
         fleet,
-        fleet.names().filter((box) => !readers.includes(box)),
+        fleet.boxNames().filter((box) => !readers.includes(box)),
       );
       fleet.readersOf('d1').forEach((box) => fleet.kill(box));
-      const elapsed = fleet.runUntil(() => fleet.everyoneKeepsOut('bad'));
+      const elapsed = fleet.runUntil(() =>
+        fleet.isQuarantinedEverywhere('bad'),
+      );
       expect(elapsed).toBeLessThan(READER_REPLACEMENT_MILLISECONDS);
     }
   });
 
   it('is kept out at once by connected entries, even while the store is down', () => {
     const fleet = createFleet(30, 5);
-    fleet.entriesHear = true;
-    fleet.storeIsDown = true;
+    fleet.areEntriesConnected = true;
+    fleet.isStoreDown = true;
     crashThree(fleet);
-    const elapsed = fleet.runUntil(() => fleet.everyoneKeepsOut('bad'));
+    const elapsed = fleet.runUntil(() => fleet.isQuarantinedEverywhere('bad'));
     expect(elapsed).toBeLessThan(50);
   });
 
@@ -75,13 +77,13 @@
     const fleet = createFleet(30, 6);
     crashThree(fleet);
     fleet.run(1000);
-    fleet.names().forEach((box) => fleet.kill(box));
+    fleet.boxNames().forEach((box) => fleet.kill(box));
     fleet.run(1000);
-    fleet.names().forEach((box) => fleet.restart(box));
+    fleet.boxNames().forEach((box) => fleet.restart(box));
     fleet.run(5000);
-    expect(fleet.everyoneKeepsOut('bad')).toBe(true);
+    expect(fleet.isQuarantinedEverywhere('bad')).toBe(true);
     fleet.run(600_000);
-    expect(fleet.everyoneKeepsOut('bad')).toBe(true);
+    expect(fleet.isQuarantinedEverywhere('bad')).toBe(true);
   });
 
   it('is known to a box that joins later', () => {
@@ -90,6 +92,6 @@
     fleet.run(1000);
     fleet.addBox();
     fleet.run(5000);
-    expect(fleet.everyoneKeepsOut('bad')).toBe(true);
+    expect(fleet.isQuarantinedEverywhere('bad')).toBe(true);
   });
 });
--- a/packages/node/src/__tests__/quarantineTraffic.test.ts
+++ b/packages/node/src/__tests__/quarantineTraffic.test.ts
@@ -6,7 +6,7 @@
 
 import {expect, it} from 'vitest';
 import type {FleetUpdate} from '@lockpin/fleet';
-import {FleetWorld} from '../../../fleet/src/__tests__/__fixtures__/fleetWorld.js';
+import {FleetSimulation} from '../../../fleet/src/__tests__/__fixtures__/fleetSimulation.js';
 import {encodeFrame} from '../request/frames.js';
 
 /** Boxes of a large data centre. */
@@ -30,20 +30,20 @@
     const {length} = encodeFrame({kind: 'news', news});
     bytesByBox.set(box, (bytesByBox.get(box) ?? 0) + length);
   };
-  const fleet = new FleetWorld({boxes: BOXES, dataCentres: 1, seed: 3});
+  const fleet = new FleetSimulation({boxes: BOXES, dataCentres: 1, seed: 3});
   fleet.run(15_000);
-  fleet.onNews = (from, to, news) => {
+  fleet.onUpdate = (from, to, news) => {
     count(from, news);
     count(to, news);
   };
-  const boxes = fleet.names();
+  const boxes = fleet.boxNames();
   for (let i = 0; i < REQUESTS * CRASHES_PER_REQUEST; i += 1) {
     const request = `request-${String(i % REQUESTS).padStart(8, '0')}`;
     fleet.crash(boxes[(i * 7) % BOXES] ?? '', request);
     fleet.run(3);
   }
   fleet.run(IN_FORCE_SECONDS * 1000);
-  expect(fleet.everyoneKeepsOut('request-00000000')).toBe(true);
+  expect(fleet.isQuarantinedEverywhere('request-00000000')).toBe(true);
   expect(Math.max(...bytesByBox.values())).toBeLessThan(
     BYTES_PER_SECOND * IN_FORCE_SECONDS,
   );
