--- a/packages/fleet/src/checkAnnouncement.ts
+++ b/packages/fleet/src/checkAnnouncement.ts
@@ -25,7 +25,7 @@
   }
   return isOnSameHost(peerAddress, address)
     ? undefined
-    : {field: 'address', problem: 'must be on the same box as this node'};
+    : {field: 'address', problem: 'is not on the box of this node'};
 }
 
 /**
--- a/packages/fleet/src/ownUpstream.ts
+++ b/packages/fleet/src/ownUpstream.ts
@@ -93,7 +93,7 @@
       this.lacksStart(announcement) &&
       !(isLeaving && this.isUnambiguous(now))
     ) {
-      const problem = 'is missing, but earlier announcements set it';
+      const problem = 'is missing, though others tell it';
       return {kind: 'refused', problem: {field: 'startedAt', problem}};
     }
     const resolved = this.withKnownStart(announcement);
--- a/packages/limits/src/__tests__/__fixtures__/limitWorld.ts
+++ b/packages/limits/src/__tests__/__fixtures__/limitWorld.ts
@@ -1,5 +1,8 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Boxes that keep limits together, and the ways between them, on a virtual clock. */
+/**
+ * Simulates boxes that enforce limits together, and the network between them,
+ * on a virtual clock.
+ */
 
 import type {RandomSource} from '@lockpin/types';
 import {seededRandom} from '@lockpin/utils';
@@ -14,25 +17,25 @@
 
 const TICK_MILLISECONDS = 200;
 
-/** Later than any played time, and apart from 0. */
-const EPOCH = 1_000_000;
+/** Larger than any simulated duration, and different from 0. */
+const START_TIME = 1_000_000;
 
-/** How one customer calls. */
+/** The limit and the load of one customer. */
 export interface PlayedCustomer {
   readonly name: string;
   readonly limit: RateLimit;
   readonly callsPerSecond: number;
-  /** Its callers are on this many boxes. */
+  /** Number of boxes that its callers use. */
   readonly boxes: number;
 }
 
-/** What became of a customer's calls. */
+/** Outcomes of a customer's calls. */
 export interface Tally {
   readonly admittedAt: number[];
   called: number;
   overLimit: number;
   unknown: number;
-  /** Calls that were not decided at once. */
+  /** Calls that were not decided immediately. */
   waited: number;
 }
 
@@ -40,33 +43,33 @@
   readonly name: string;
   client: LimitClient;
   pool: TokenPool;
-  life: number;
+  generation: number;
   isUp: boolean;
-  /** Messages of this box reach nobody, or none reaches it. */
+  /** Outgoing or incoming messages of this box are held back. */
   cutOut: boolean;
   cutIn: boolean;
   messages: number;
-  /** Its machine is suspended until then. */
-  wakesAt: number;
-  /** How far its clock has been moved ahead. */
-  ahead: number;
+  /** The box is suspended until then. */
+  resumesAt: number;
+  /** Milliseconds by which its clock is ahead. */
+  clockOffset: number;
 }
 
-interface Timed {
+interface ScheduledEvent {
   readonly at: number;
   readonly order: number;
   readonly run: () => void;
 }
 
-/** A message on a way that is cut; lost when its receiver ends meanwhile. */
-interface Held {
+/** A message held back by a cut link; dropped if its receiver restarts. */
+interface HeldMessage {
   readonly from: Box;
   readonly to: Box;
-  readonly life: number;
+  readonly generation: number;
   readonly run: () => void;
 }
 
-/** Plays calls against real pools and clients. */
+/** Simulates calls against real pools and clients. */
 export class LimitWorld {
   readonly rules: LimitRules = {
     windowMilliseconds: 5000,
@@ -75,10 +78,10 @@
   };
   readonly boxes: Box[] = [];
   readonly tallies = new Map<string, Tally>();
-  now = EPOCH;
+  now = START_TIME;
   private order = 0;
-  private timed: Timed[] = [];
-  private held: Held[] = [];
+  private scheduled: ScheduledEvent[] = [];
+  private held: HeldMessage[] = [];
   private readonly limits = new Map<string, RateLimit>();
   private readonly random: RandomSource;
   private readonly fleet: LimitFleet;
@@ -89,25 +92,25 @@
     this.random = seededRandom(seed);
     const names = Array.from({length: count}, (_, i) => `box-${i + 1}`);
     this.fleet = {boxes: count, candidates: names};
-    names.forEach((name) => this.boxes.push(this.newBox(name)));
+    names.forEach((name) => this.boxes.push(this.createBox(name)));
     this.boxes.forEach((box) =>
-      this.after(this.random() * TICK_MILLISECONDS, () => this.tick(box)),
+      this.schedule(this.random() * TICK_MILLISECONDS, () => this.tick(box)),
     );
   }
 
-  /** A customer calls from now on for some time. */
+  /** Starts the calls of a customer, for the given time. */
   calls(customer: PlayedCustomer, milliseconds: number): void {
     this.limits.set(customer.name, customer.limit);
     this.tally(customer.name);
-    const places = [...this.boxes]
+    const callerBoxes = [...this.boxes]
       .sort(() => this.random() - 0.5)
       .slice(0, customer.boxes);
     const end = this.now + milliseconds;
     const next = (): void => {
       const pause = -Math.log(1 - this.random()) / customer.callsPerSecond;
-      this.after(pause * 1000, () => {
+      this.schedule(pause * 1000, () => {
         if (this.now < end) {
-          this.call(customer.name, places);
+          this.call(customer.name, callerBoxes);
           next();
         }
       });
@@ -122,30 +125,35 @@
 
   restart(box: Box, milliseconds: number): void {
     box.isUp = false;
-    box.life += 1;
-    this.after(milliseconds, () => {
-      Object.assign(box, this.parts(box.name, box.life), {isUp: true});
+    box.generation += 1;
+    this.schedule(milliseconds, () => {
+      Object.assign(box, this.createComponents(box.name, box.generation), {
+        isUp: true,
+      });
     });
   }
 
-  /** The machine of a box stands still; what comes meanwhile waits for it. */
+  /** Suspends a box; messages to it wait until it resumes. */
   suspend(box: Box, milliseconds: number): void {
-    if (box.wakesAt <= this.now) {
-      box.wakesAt = this.now + milliseconds;
+    if (box.resumesAt <= this.now) {
+      box.resumesAt = this.now + milliseconds;
     }
   }
 
-  /** Time of day is set forwards on a box, which looks like a suspension there. */
+  /**
+   * Sets the time of day of a box forwards, which looks like a suspension
+   * there.
+   */
   setForwards(box: Box, milliseconds: number): void {
-    box.ahead += milliseconds;
+    box.clockOffset += milliseconds;
     box.client.clockGained(milliseconds);
     box.pool.clockGained(milliseconds);
   }
 
   run(milliseconds: number): void {
     const end = this.now + milliseconds;
-    while ((this.timed[0]?.at ?? Number.POSITIVE_INFINITY) <= end) {
-      const next = this.timed.shift() as Timed;
+    while ((this.scheduled[0]?.at ?? Number.POSITIVE_INFINITY) <= end) {
+      const next = this.scheduled.shift() as ScheduledEvent;
       this.now = Math.max(this.now, next.at);
       next.run();
     }
@@ -153,41 +161,44 @@
   }
 
   tally(customer: string): Tally {
-    const found = this.tallies.get(customer);
-    if (found !== undefined) {
-      return found;
+    const existing = this.tallies.get(customer);
+    if (existing !== undefined) {
+      return existing;
     }
-    const made = {
+    const created = {
       admittedAt: [],
       called: 0,
       overLimit: 0,
       unknown: 0,
       waited: 0,
     };
-    this.tallies.set(customer, made);
-    return made;
+    this.tallies.set(customer, created);
+    return created;
   }
 
-  /** The share of a window's bound that the fullest window used. */
+  /** Calls of the fullest window, relative to the bound. */
   fullest(customer: string, limit: RateLimit, since = 0): number {
     const times = this.tally(customer).admittedAt.filter((at) => at >= since);
-    const most = fullestWindow(times, this.rules.windowMilliseconds);
-    return most / mostInWindow(limit, this.rules);
+    const maximumCount = fullestWindow(times, this.rules.windowMilliseconds);
+    return maximumCount / mostInWindow(limit, this.rules);
   }
 
-  private newBox(name: string): Box {
+  private createBox(name: string): Box {
     const state = {
       isUp: true,
       cutOut: false,
       cutIn: false,
       messages: 0,
-      wakesAt: 0,
-      ahead: 0,
+      resumesAt: 0,
+      clockOffset: 0,
     };
-    return {name, ...state, life: 1, ...this.parts(name, 1)};
+    return {name, ...state, generation: 1, ...this.createComponents(name, 1)};
   }
 
-  private parts(box: string, process: number): Pick<Box, 'client' | 'pool'> {
+  private createComponents(
+    box: string,
+    process: number,
+  ): Pick<Box, 'client' | 'pool'> {
     const pool = new TokenPool({
       box,
       process,
@@ -198,9 +209,11 @@
     return {client: new LimitClient(box), pool};
   }
 
-  private call(customer: string, places: readonly Box[]): void {
-    const up = places.filter((box) => box.isUp && this.isAwake(box));
-    const box = up[Math.floor(this.random() * up.length)];
+  private call(customer: string, callerBoxes: readonly Box[]): void {
+    const available = callerBoxes.filter(
+      (box) => box.isUp && this.isAwake(box),
+    );
+    const box = available[Math.floor(this.random() * available.length)];
     if (box === undefined) {
       return;
     }
@@ -209,7 +222,10 @@
     const tally = this.tally(customer);
     tally.called += 1;
     this.waiting.set(callId, customer);
-    this.perform(box, box.client.arrived(this.nowAt(box), callId, customer));
+    this.performActions(
+      box,
+      box.client.arrived(this.nowAt(box), callId, customer),
+    );
     tally.waited += this.waiting.has(callId) ? 1 : 0;
   }
 
@@ -217,12 +233,12 @@
     if (box.isUp && this.isAwake(box)) {
       const now = this.nowAt(box);
       box.pool.tick(now);
-      this.perform(box, box.client.tick(now, this.fleet));
+      this.performActions(box, box.client.tick(now, this.fleet));
     }
-    this.after(TICK_MILLISECONDS, () => this.tick(box));
+    this.schedule(TICK_MILLISECONDS, () => this.tick(box));
   }
 
-  private perform(box: Box, actions: readonly LimitAction[]): void {
+  private performActions(box: Box, actions: readonly LimitAction[]): void {
     for (const action of actions) {
       if (action.kind === 'decided') {
         this.decided(action.callId, action.admission);
@@ -246,70 +262,80 @@
 
   private send(from: Box, to: string, request: LimitRequest): void {
     from.messages += 1;
-    const {life} = from;
+    const {generation} = from;
     if (request.draws.length > 0) {
-      this.after(ANSWER_MILLISECONDS, () => {
-        if (from.life === life && from.isUp) {
-          this.perform(from, from.client.expire(this.nowAt(from)));
+      this.schedule(ANSWER_MILLISECONDS, () => {
+        if (from.generation === generation && from.isUp) {
+          this.performActions(from, from.client.expire(this.nowAt(from)));
         }
       });
     }
     const pool = this.boxes.find(({name}) => name === to) as Box;
-    this.carry(from, pool, pool.life, () => {
+    this.deliver(from, pool, pool.generation, () => {
       const reply = pool.pool.answer(this.nowAt(pool), request);
-      this.carry(pool, from, life, () => this.heard(from, reply));
+      this.deliver(pool, from, generation, () => this.heard(from, reply));
     });
   }
 
   private heard(box: Box, reply: LimitReply): void {
-    this.perform(box, box.client.replied(this.nowAt(box), reply));
+    this.performActions(box, box.client.replied(this.nowAt(box), reply));
   }
 
-  /** What was cut off comes late, once its way is open again. */
+  /** Delivers held messages whose link works again. */
   flush(): void {
     const held = this.held;
     this.held = [];
-    held.forEach(({from, to, life, run}) => this.carry(from, to, life, run));
+    held.forEach(({from, to, generation, run}) =>
+      this.deliver(from, to, generation, run),
+    );
   }
 
-  private carry(from: Box, to: Box, life: number, run: () => void): void {
+  private deliver(
+    from: Box,
+    to: Box,
+    generation: number,
+    run: () => void,
+  ): void {
     const isCut = (): boolean => from !== to && (from.cutOut || to.cutIn);
     if (isCut()) {
-      this.held.push({from, to, life, run});
+      this.held.push({from, to, generation, run});
       return;
     }
-    this.after(from === to ? 0 : 1 + this.random() * 3, () => {
+    this.schedule(from === to ? 0 : 1 + this.random() * 3, () => {
       if (isCut()) {
-        this.held.push({from, to, life, run});
-      } else if (to.isUp && to.life === life) {
+        this.held.push({from, to, generation, run});
+      } else if (to.isUp && to.generation === generation) {
         this.whenAwake(to, run);
       }
     });
   }
 
-  private nowAt({ahead}: Box): number {
-    return this.now + ahead;
+  private nowAt({clockOffset}: Box): number {
+    return this.now + clockOffset;
   }
 
-  private isAwake({wakesAt}: Box): boolean {
-    return wakesAt <= this.now;
+  private isAwake({resumesAt}: Box): boolean {
+    return resumesAt <= this.now;
   }
 
   private whenAwake(box: Box, run: () => void): void {
     if (this.isAwake(box)) {
       run();
     } else {
-      this.after(box.wakesAt - this.now, run);
+      this.schedule(box.resumesAt - this.now, run);
     }
   }
 
-  private after(milliseconds: number, run: () => void): void {
+  private schedule(milliseconds: number, run: () => void): void {
     this.order += 1;
-    const timed = {at: this.now + milliseconds, order: this.order, run};
-    let i = this.timed.length;
-    while (i > 0 && (this.timed[i - 1] as Timed).at > timed.at) {
+    const scheduled = {at: this.now + milliseconds, order: this.order, run};
+    let i = this.scheduled.length;
+    while (
+      i > 0 &&
+      (this.scheduled[i - 1] as ScheduledEvent).at > scheduled.at
+    ) {
       i -= 1;
     }
-    this.timed.splice(i, 0, timed);
+    this.scheduled.splice(i, 0, scheduled);
   }
 }
--- a/packages/limits/src/__tests__/__fixtures__/otherWays.ts
+++ b/packages/limits/src/__tests__/__fixtures__/otherWays.ts
@@ -1,16 +1,19 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Two other ways to keep a limit, each at its best, to compare the pools with. */
+/**
+ * Two alternative rate limiters under ideal conditions, as a baseline for the
+ * token pools.
+ */
 
 import {seededRandom} from '@lockpin/utils';
 import {mostInWindow, tokenCapacity} from '../../rateLimit.js';
 import type {LimitRules} from '../../rateLimit.js';
 import type {PlayedCustomer} from './limitWorld.js';
 
-/** What became of a customer's calls. */
+/** Outcomes of a customer's calls. */
 export interface WayResult {
-  /** Part of the calls that were refused. */
+  /** Share of the calls that were refused. */
   readonly refused: number;
-  /** Calls of the fullest window, of those that the rules allow. */
+  /** Calls of the fullest window, relative to what the rules allow. */
   readonly fullest: number;
 }
 
@@ -19,7 +22,10 @@
   readonly box: number;
 }
 
-/** Each box has an equal part of the limit, and of the tokens that may exist. */
+/**
+ * Static shares: each box has an equal share of the limit and of the token
+ * capacity.
+ */
 export function equalShares(
   customer: PlayedCustomer,
   rules: LimitRules,
@@ -29,18 +35,18 @@
   const {limit} = customer;
   const capacity = tokenCapacity(limit, rules) / boxes;
   const perMillisecond = limit.callsPerSecond / 1000 / boxes;
-  const stores = new Map<number, {tokens: number; at: number}>();
-  return play(customer, rules, seed, ({at, box}) => {
-    const store = stores.get(box) ?? {tokens: capacity, at: 0};
-    const made = (at - store.at) * perMillisecond;
-    const tokens = Math.min(capacity, store.tokens + made);
+  const stocks = new Map<number, {tokens: number; at: number}>();
+  return simulate(customer, rules, seed, ({at, box}) => {
+    const stock = stocks.get(box) ?? {tokens: capacity, at: 0};
+    const accrued = (at - stock.at) * perMillisecond;
+    const tokens = Math.min(capacity, stock.tokens + accrued);
     const isAdmitted = tokens >= 1;
-    stores.set(box, {tokens: isAdmitted ? tokens - 1 : tokens, at});
+    stocks.set(box, {tokens: isAdmitted ? tokens - 1 : tokens, at});
     return isAdmitted;
   });
 }
 
-/** All boxes know how often the customer called until a while ago. */
+/** Delayed counting: all boxes know the calls admitted until a while ago. */
 export function countingAfter(
   customer: PlayedCustomer,
   rules: LimitRules,
@@ -51,11 +57,11 @@
   const {windowMilliseconds} = rules;
   const allowed = (callsPerSecond * windowMilliseconds) / 1000 + burst;
   const admitted: number[] = [];
-  return play(customer, rules, seed, ({at}) => {
-    const known = admitted.filter(
+  return simulate(customer, rules, seed, ({at}) => {
+    const visible = admitted.filter(
       (time) => time > at - windowMilliseconds && time < at - delayMilliseconds,
     );
-    const isAdmitted = known.length < allowed;
+    const isAdmitted = visible.length < allowed;
     if (isAdmitted) {
       admitted.push(at);
     }
@@ -63,10 +69,10 @@
   });
 }
 
-/** Time in which a customer calls. */
-const PLAYED_MILLISECONDS = 20_000;
+/** Simulated time. */
+const SIMULATED_MILLISECONDS = 20_000;
 
-function play(
+function simulate(
   customer: PlayedCustomer,
   rules: LimitRules,
   seed: number,
@@ -76,32 +82,35 @@
   const admitted: number[] = [];
   let calls = 0;
   let at = 0;
-  while (at < PLAYED_MILLISECONDS) {
+  while (at < SIMULATED_MILLISECONDS) {
     at -= (Math.log(1 - random()) * 1000) / customer.callsPerSecond;
     calls += 1;
     if (isAdmitted({at, box: Math.floor(random() * customer.boxes)})) {
       admitted.push(at);
     }
   }
-  const most = fullestWindow(admitted, rules.windowMilliseconds);
+  const maximumCount = fullestWindow(admitted, rules.windowMilliseconds);
   return {
     refused: 1 - admitted.length / calls,
-    fullest: most / mostInWindow(customer.limit, rules),
+    fullest: maximumCount / mostInWindow(customer.limit, rules),
   };
 }
 
-/** The most of some times, in rising order, that any window of a length holds. */
+/**
+ * The largest number of the given ascending times that fall into any window of
+ * the given length.
+ */
 export function fullestWindow(
   times: readonly number[],
   windowMilliseconds: number,
 ): number {
-  let most = 0;
+  let maximumCount = 0;
   let first = 0;
   times.forEach((at, i) => {
     while (at - (times[first] ?? at) > windowMilliseconds) {
       first += 1;
     }
-    most = Math.max(most, i - first + 1);
+    maximumCount = Math.max(maximumCount, i - first + 1);
   });
-  return most;
+  return maximumCount;
 }
--- a/packages/limits/src/__tests__/clockGained.test.ts
+++ b/packages/limits/src/__tests__/clockGained.test.ts
@@ -1,6 +1,6 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
 /**
- * What pools and lenders have given out when their clock counts time that may not have
+ * Pools and lenders when their clock jumps ahead by time that may not have
  * passed: the time of day was set forwards, or the machine was suspended.
  */
 
@@ -22,8 +22,8 @@
 
 const NOW = 1_000_000;
 
-/** Shorter than a loan, longer than a store is held for. */
-const GAIN = (LOAN_MILLISECONDS + STOCK_MILLISECONDS) / 2;
+/** Shorter than a loan, longer than tokens stay in a local stock. */
+const JUMP_MILLISECONDS = (LOAN_MILLISECONDS + STOCK_MILLISECONDS) / 2;
 
 const PROCESS = 1;
 
@@ -41,8 +41,10 @@
   return {customer: CUSTOMER, held: 0, waiting: 0, stock, returned: 0};
 }
 
-/** Lends all limits to the pool and draws from it. */
-function ask(
+/**
+ * Lends all limits to the pool and draws from it; returns the tokens granted.
+ */
+function drawTokens(
   pool: TokenPool,
   now: number,
   box: string,
@@ -63,58 +65,62 @@
   return reply.grants[0]?.tokens ?? 0;
 }
 
-/** Lends for as long as it takes until the pool has all tokens that it may have. */
+/** Lends until the pool has accrued its full capacity; returns the time. */
 function fill(pool: TokenPool): number {
   let now = NOW;
   for (let i = 0; i < 20; i += 1) {
     now += 1000;
-    ask(pool, now, 'lender', []);
+    drawTokens(pool, now, 'lender', []);
     pool.tick(now);
   }
   return now;
 }
 
-/** Tokens of a full pool that a box has, and those that another one gets afterwards. */
+/**
+ * Tokens that two boxes get from a full pool, before and after the clock jump.
+ */
 function tokensAround(gain: number, isTold: boolean): number {
   const pool = newPool();
-  const filled = fill(pool);
-  const stored = ask(pool, filled, 'first', [draw(100)]);
+  const filledAt = fill(pool);
+  const granted = drawTokens(pool, filledAt, 'first', [draw(100)]);
   if (isTold) {
     pool.clockGained(gain);
   }
-  const now = filled + gain + 100;
+  const now = filledAt + gain + 100;
   pool.tick(now);
-  return stored + ask(pool, now, 'second', [draw(100)]);
+  return granted + drawTokens(pool, now, 'second', [draw(100)]);
 }
 
-describe('a pool whose clock counts time that may not have passed', () => {
+describe('a pool whose clock jumps ahead', () => {
   it('does not give out anew what boxes may still have in store', () => {
-    const inTenthOfSecond = tokensAround(0, true);
-    expect(tokensAround(GAIN, true)).toBeLessThanOrEqual(inTenthOfSecond);
-    expect(tokensAround(GAIN, false)).toBeGreaterThan(inTenthOfSecond);
+    const withoutJump = tokensAround(0, true);
+    expect(tokensAround(JUMP_MILLISECONDS, true)).toBeLessThanOrEqual(
+      withoutJump,
+    );
+    expect(tokensAround(JUMP_MILLISECONDS, false)).toBeGreaterThan(withoutJump);
   });
 
-  it('makes no tokens out of loans that have just begun', () => {
+  it('accrues no tokens from loans that have just begun', () => {
     const tokensAfter = (isTold: boolean): number => {
       const pool = newPool();
-      ask(pool, NOW, 'lender', []);
+      drawTokens(pool, NOW, 'lender', []);
       if (isTold) {
-        pool.clockGained(GAIN);
+        pool.clockGained(JUMP_MILLISECONDS);
       }
-      return ask(pool, NOW + GAIN, 'lender', [draw(100)]);
+      return drawTokens(pool, NOW + JUMP_MILLISECONDS, 'lender', [draw(100)]);
     };
     expect(tokensAfter(true)).toBe(0);
     expect(tokensAfter(false)).toBeGreaterThan(5);
   });
 });
 
-/** Pools that a box uses after one of two that it lent to has fallen silent. */
+/** Number of active pools of a box after one of two has become unresponsive. */
 function poolsAfterSilence(isTold: boolean): number {
   const links = new PoolLinks('lender');
   const boxes = ['a', 'b', 'c', 'lender'];
   const fleet = {boxes: boxes.length, candidates: boxes};
   const names = poolsAmong(boxes);
-  const hear = (now: number, box: string): void => {
+  const receiveReply = (now: number, box: string): void => {
     const moment = {process: PROCESS, at: now};
     const {digest} = links.inUse;
     const reply = {box, moment, poolsDigest: digest, lacksPools: false};
@@ -122,7 +128,7 @@
   };
   for (let i = 0; i < 4; i += 1) {
     links.tick(NOW + i * 1000, fleet);
-    names.forEach((name) => hear(NOW + i * 1000, name));
+    names.forEach((name) => receiveReply(NOW + i * 1000, name));
   }
   const now = NOW + 4000;
   links.wasSilent(names[0] ?? '');
@@ -133,7 +139,7 @@
   return links.inUse.names.length;
 }
 
-describe('a lender whose clock counts time that may not have passed', () => {
+describe('a lender whose clock jumps ahead', () => {
   it('leaves its part with a silent pool for as long as the loan lasts', () => {
     expect(poolsAfterSilence(true)).toBe(2);
     expect(poolsAfterSilence(false)).toBe(1);
--- a/packages/limits/src/customerTokens.ts
+++ b/packages/limits/src/customerTokens.ts
@@ -1,45 +1,56 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** The tokens of one customer that a box has in store, and the calls that wait for one. */
+/**
+ * The local stock of one customer's tokens at a box, and the calls waiting for
+ * one.
+ */
 
 import {STOCK_MILLISECONDS} from './tokenPool.js';
 
-/** The time that a store is to last; what one box has, others lack. */
-const STORE_SECONDS = 1.5;
+/**
+ * How long a local stock should last; tokens held by one box are missing at
+ * others.
+ */
+const STOCK_TARGET_SECONDS = 1.5;
 
-/** Tokens in store at the most. */
-const MOST_STORED = 8;
+/** Largest local stock. */
+const MAXIMUM_STOCK = 8;
 
-/** The rate of calls is averaged over about this time. */
-const RATE_MILLISECONDS = 3000;
+/** Time constant of the moving average of the call rate. */
+const RATE_TIME_CONSTANT_MILLISECONDS = 3000;
 
-/** A customer that has not called for so long needs nothing in store. */
-const IDLE_MILLISECONDS = 3000;
+/** Without a call for this long, a customer gets no local stock. */
+const IDLE_TIMEOUT_MILLISECONDS = 3000;
 
-/** A pool that had no token for this box. */
+/** A pool that had too few tokens for this box. */
 interface EmptyPool {
-  readonly askAt: number;
-  readonly roomAt: number;
+  readonly retryAt: number;
+  readonly availableAt: number;
 }
 
-/** Counts what is there; knows no pools but by name. */
+/** Tracks tokens and waiting calls; pools are known by name only. */
 export class CustomerTokens {
-  /** Calls, in the order in which they came. */
+  /** Ids of the waiting calls, oldest first. */
   readonly waiting: string[] = [];
   private tokens = 0;
-  /** Tokens were made after the draw that brought them was sent. */
+  /**
+   * Expiry of the tokens, counted from when their draw was sent, which is
+   * before they were granted.
+   */
   private validUntil = 0;
   private rate = 0;
   private calledAt = 0;
-  private readonly empty = new Map<string, EmptyPool>();
+  private readonly emptyPools = new Map<string, EmptyPool>();
 
-  /** A call came. */
+  /** Updates the call rate on an incoming call. */
   called(now: number): void {
-    const gone = Math.exp(-(now - this.calledAt) / RATE_MILLISECONDS);
-    this.rate = this.rate * gone + 1000 / RATE_MILLISECONDS;
+    const decay = Math.exp(
+      -(now - this.calledAt) / RATE_TIME_CONSTANT_MILLISECONDS,
+    );
+    this.rate = this.rate * decay + 1000 / RATE_TIME_CONSTANT_MILLISECONDS;
     this.calledAt = now;
   }
 
-  /** Takes one token out of the store, if there is one. */
+  /** Takes one token from the local stock, if there is one. */
   take(now: number): boolean {
     if (this.count(now) < 1) {
       return false;
@@ -48,7 +59,7 @@
     return true;
   }
 
-  /** Tokens in store. */
+  /** Tokens in the local stock. */
   count(now: number): number {
     if (now > this.validUntil) {
       this.tokens = 0;
@@ -56,7 +67,9 @@
     return this.tokens;
   }
 
-  /** A draw that was sent at a time brought some; old ones keep their time. */
+  /**
+   * Adds the tokens of a draw sent at the given time; the earlier expiry wins.
+   */
   add(askedAt: number, tokens: number): void {
     const until = askedAt + STOCK_MILLISECONDS;
     this.validUntil =
@@ -64,67 +77,72 @@
     this.tokens += tokens;
   }
 
-  /** A call that had taken a token has run nowhere: another may have it. */
+  /** Returns the token of a call that did not run. */
   putBack(now: number): void {
     if (now <= this.validUntil) {
       this.tokens += 1;
     }
   }
 
-  /** Nothing is left in store. */
+  /** Discards all tokens and what is known of empty pools. */
   drop(): void {
     this.tokens = 0;
-    this.empty.clear();
+    this.emptyPools.clear();
   }
 
-  /** Tokens that the store lacks. */
+  /** Tokens missing to the target. */
   missing(now: number): number {
     return Math.max(0, this.target(now) - this.count(now));
   }
 
-  /** Whether the store is at most half full. */
+  /** Whether the local stock is at most half of its target. */
   wants(now: number): boolean {
     return this.count(now) <= this.target(now) / 2 && this.missing(now) > 0;
   }
 
-  /** Tokens that are not needed. */
+  /** Tokens above the target. */
   surplus(now: number): number {
     return Math.max(0, this.count(now) - this.target(now));
   }
 
-  /** Takes out what is not needed. */
+  /** Removes the surplus and returns it. */
   giveBack(now: number): number {
     const surplus = this.surplus(now);
     this.tokens -= surplus;
     return surplus;
   }
 
-  /** A pool has none: it is not asked before a time, and has room for all at another. */
-  emptyAt(pool: string, askAt: number, roomAt: number): void {
-    this.empty.set(pool, {askAt, roomAt});
+  /**
+   * Records that a pool is empty: when to ask it again, and when it will have
+   * tokens for all boxes.
+   */
+  emptyAt(pool: string, retryAt: number, availableAt: number): void {
+    this.emptyPools.set(pool, {retryAt, availableAt});
   }
 
   isEmptyAt(now: number, pool: string): boolean {
-    return now < (this.empty.get(pool)?.askAt ?? 0);
+    return now < (this.emptyPools.get(pool)?.retryAt ?? 0);
   }
 
-  /** When the first of these pools will have room. */
+  /**
+   * The earliest time at which one of the pools will have tokens for all boxes.
+   */
   roomAt(pools: readonly string[]): number {
     return Math.min(
-      ...pools.flatMap((pool) => this.empty.get(pool)?.roomAt ?? []),
+      ...pools.flatMap((pool) => this.emptyPools.get(pool)?.availableAt ?? []),
     );
   }
 
-  /** Nothing is known that matters. */
+  /** Whether there is no state worth keeping. */
   isForgotten(now: number): boolean {
-    const isIdle = now - this.calledAt > IDLE_MILLISECONDS;
+    const isIdle = now - this.calledAt > IDLE_TIMEOUT_MILLISECONDS;
     return isIdle && this.waiting.length === 0 && this.count(now) === 0;
   }
 
   private target(now: number): number {
-    if (now - this.calledAt > IDLE_MILLISECONDS) {
+    if (now - this.calledAt > IDLE_TIMEOUT_MILLISECONDS) {
       return 0;
     }
-    return Math.min(MOST_STORED, Math.ceil(this.rate * STORE_SECONDS));
+    return Math.min(MAXIMUM_STOCK, Math.ceil(this.rate * STOCK_TARGET_SECONDS));
   }
 }
--- a/packages/limits/src/index.ts
+++ b/packages/limits/src/index.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Rate limits of customers, kept by all boxes together. */
+/** Distributed rate limiting of customers. */
 
 export * from './limitClient.js';
 export * from './limitMessages.js';
--- a/packages/limits/src/limitClient.ts
+++ b/packages/limits/src/limitClient.ts
@@ -1,8 +1,9 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
 /**
- * The limits of customers at a box that takes their calls. It lends its part of all
- * limits to the pools and draws tokens from them. Some calls find one in store; the
- * others are decided by the pool's answer, a few milliseconds later.
+ * Rate limiting of customers at a box that receives their calls. The box lends
+ * its share of all limits to the token pools and draws tokens from them. Some
+ * calls take a token from the local stock; the others wait a few milliseconds
+ * for a pool's reply.
  */
 
 import {CustomerTokens} from './customerTokens.js';
@@ -13,19 +14,19 @@
 /** Whether a call is within its customer's limit. */
 export type Admission =
   | {readonly kind: 'admitted'}
-  /** The customer has called as often as it may. */
+  /** The customer has used up its limit. */
   | {readonly kind: 'over-limit'; readonly retryAfterMilliseconds: number}
-  /** No pool can be reached; nobody here knows how often it has called. */
+  /** No pool can be reached, so the customer's use is not known. */
   | {readonly kind: 'unknown'; readonly retryAfterMilliseconds: number};
 
-/** What the client wants done. */
+/** Actions for the caller to perform. */
 export type LimitAction =
   | {
       readonly kind: 'send';
       readonly box: string;
       readonly request: LimitRequest;
     }
-  /** A pool does not answer; the connection to it may be dead. */
+  /** A pool is unresponsive; the connection to it may be dead. */
   | {readonly kind: 'pool-silent'; readonly box: string}
   | {
       readonly kind: 'decided';
@@ -34,126 +35,138 @@
     };
 
 /**
- * A pool answers within a few milliseconds; one that has not after this is passed
- * over, while callers can still be served by the second one.
+ * Time-out of a draw. Pools reply within a few milliseconds; after this the
+ * next pool is asked, while the calls can still be served.
  */
 export const ANSWER_MILLISECONDS = 150;
 
 /**
- * A pool that had nothing is asked again after this. Callers are told when there will
- * be room for all who ask; few of them come back at once, so that a box that did not ask
- * before would refuse what the others leave.
+ * An empty pool is asked again after this at the latest. Callers are told when
+ * there will be tokens for all boxes that ask, but few of them return at once;
+ * without this bound, a box that has not drawn before would refuse calls while
+ * the others leave tokens unused.
  */
-const ASK_AGAIN_MILLISECONDS = 150;
+const EMPTY_POOL_RETRY_MILLISECONDS = 150;
 
-/** When a caller may come back that met no pool: they are found anew within it. */
+/**
+ * Retry delay when no pool is reachable; the pools are selected anew within it.
+ */
 const UNKNOWN_RETRY_MILLISECONDS = 500;
 
-/** In place of a pool's name while a box that has just started knows none. */
+/**
+ * Stands for the pool of a draw while a box that has just started knows none.
+ */
 const NO_POOL_YET = '';
 
 const ADMITTED: Admission = {kind: 'admitted'};
 
-/** A question to a pool that was not answered yet. */
-interface OpenDraw {
+/** A draw that has no reply yet. */
+interface PendingDraw {
   readonly customer: string;
   readonly pool: string;
   readonly askedAt: number;
 }
 
-/** Decides by (now, event) alone. */
+/** A deterministic state machine: its actions depend on (now, event) alone. */
 export class LimitClient {
   private readonly customers = new Map<string, CustomerTokens>();
-  private readonly open = new Map<string, OpenDraw>();
+  private readonly pendingDraws = new Map<string, PendingDraw>();
   private readonly links: PoolLinks;
 
   constructor(private readonly box: string) {
     this.links = new PoolLinks(box);
   }
 
-  /** A call of a customer that has a limit; the answer may come later. */
+  /** A call of a rate-limited customer arrived; the decision may come later. */
   arrived(
     now: number,
     callId: string,
     customer: string,
   ): readonly LimitAction[] {
-    const tokens = this.tokensOf(customer);
+    const tokens = this.tokensFor(customer);
     tokens.called(now);
     if (tokens.take(now)) {
-      return [decided(callId, ADMITTED)];
+      return [decision(callId, ADMITTED)];
     }
     tokens.waiting.push(callId);
     return this.draw(now, customer, tokens);
   }
 
-  /** Lends to the pools, refills the stores, and passes over silent pools. */
+  /** Renews loans, refills local stocks and gives up on unresponsive pools. */
   tick(now: number, fleet: LimitFleet): readonly LimitAction[] {
     const sends = this.links
       .tick(now, fleet)
-      .map((visit) => this.tell(visit, this.refills(now, visit.pool)));
-    const silent = this.links
+      .map((update) =>
+        this.createRequest(update, this.refillDraws(now, update.pool)),
+      );
+    const unresponsive = this.links
       .silent(now)
       .map((box): LimitAction => ({kind: 'pool-silent', box}));
-    return [...this.expire(now), ...silent, ...sends];
+    return [...this.expire(now), ...unresponsive, ...sends];
   }
 
-  /** Goes on without the pools that have not answered in time. */
+  /** Retries draws that timed out at the next pool. */
   expire(now: number): readonly LimitAction[] {
-    return [...this.open.values()]
+    return [...this.pendingDraws.values()]
       .filter(({askedAt}) => now - askedAt >= ANSWER_MILLISECONDS)
-      .flatMap((draw) => this.unanswered(now, draw));
+      .flatMap((draw) => this.drawTimedOut(now, draw));
   }
 
-  /** A pool answered. */
+  /** A pool replied. */
   replied(now: number, reply: LimitReply): readonly LimitAction[] {
     const wasStarting = this.links.isStarting;
     const loans = this.links.heard(now, reply);
-    const given = reply.grants.flatMap((grant) =>
-      this.granted(now, reply.box, grant),
+    const grantActions = reply.grants.flatMap((grant) =>
+      this.applyGrant(now, reply.box, grant),
     );
     return [
-      ...loans.map((visit) => this.tell(visit, [])),
-      ...given,
-      ...(wasStarting ? this.drawAll(now) : []),
+      ...loans.map((update) => this.createRequest(update, [])),
+      ...grantActions,
+      ...(wasStarting ? this.drawPending(now) : []),
     ];
   }
 
-  /** The clock counts this much more time from here on, which may not have passed. */
+  /** The clock jumped ahead by a time that may not have passed. */
   clockGained(milliseconds: number): void {
     this.links.clockGained(milliseconds);
   }
 
-  /** A call that was admitted has run nowhere, and will not. */
+  /** An admitted call did not run and never will: its token is returned. */
   notRun(now: number, customer: string): void {
     this.customers.get(customer)?.putBack(now);
   }
 
-  /** A limit was changed or taken away: tokens of the earlier one are worth nothing. */
+  /**
+   * A limit was changed or removed: tokens drawn under the old one are void.
+   */
   limitChanged(customer: string): void {
     this.customers.get(customer)?.drop();
   }
 
-  private tell({pool, loan}: PoolVisit, draws: readonly Draw[]): LimitAction {
+  private createRequest(
+    {pool, loan}: PoolVisit,
+    draws: readonly Draw[],
+  ): LimitAction {
     return send(pool, {kind: 'limit-request', box: this.box, loan, draws});
   }
 
-  private tokensOf(customer: string): CustomerTokens {
+  private tokensFor(customer: string): CustomerTokens {
     const found = this.customers.get(customer);
     if (found !== undefined) {
       return found;
     }
-    const made = new CustomerTokens();
-    this.customers.set(customer, made);
-    return made;
+    const created = new CustomerTokens();
+    this.customers.set(customer, created);
+    return created;
   }
 
-  /** Asks the first pool that answers and has not said that it has none. */
+  /** Draws from the first responsive pool that is not known to be empty. */
   private draw(
     now: number,
     customer: string,
     tokens: CustomerTokens,
   ): readonly LimitAction[] {
-    if (this.open.has(customer) || tokens.waiting.length === 0) {
+    if (this.pendingDraws.has(customer) || tokens.waiting.length === 0) {
       return [];
     }
     const pools = this.links.inUse.of(customer);
@@ -161,31 +174,38 @@
       (name) => this.links.answers(name) && !tokens.isEmptyAt(now, name),
     );
     if (pool === undefined && this.links.isStarting) {
-      this.open.set(customer, {customer, pool: NO_POOL_YET, askedAt: now});
+      this.pendingDraws.set(customer, {
+        customer,
+        pool: NO_POOL_YET,
+        askedAt: now,
+      });
       return [];
     }
     if (pool === undefined) {
-      return this.refuseAll(now, customer, tokens);
+      return this.refuseWaiting(now, customer, tokens);
     }
-    this.open.set(customer, {customer, pool, askedAt: now});
-    const draws = [drawOf(now, customer, tokens)];
+    this.pendingDraws.set(customer, {customer, pool, askedAt: now});
+    const draws = [createDraw(now, customer, tokens)];
     const loan = undefined;
     return [send(pool, {kind: 'limit-request', box: this.box, loan, draws})];
   }
 
-  /** The first pool was heard of: calls waited for that. */
-  private drawAll(now: number): readonly LimitAction[] {
-    return [...this.open.values()]
+  /** The first pool replied: calls that waited for one can draw. */
+  private drawPending(now: number): readonly LimitAction[] {
+    return [...this.pendingDraws.values()]
       .filter(({pool}) => pool === NO_POOL_YET)
       .flatMap(({customer}) => {
-        this.open.delete(customer);
+        this.pendingDraws.delete(customer);
         const tokens = this.customers.get(customer);
         return tokens === undefined ? [] : this.draw(now, customer, tokens);
       });
   }
 
-  /** Stores that run low are filled along with what is told the pool anyway. */
-  private refills(now: number, pool: string): readonly Draw[] {
+  /**
+   * Adds draws for low or overfull local stocks to a message that is due
+   * anyway.
+   */
+  private refillDraws(now: number, pool: string): readonly Draw[] {
     const draws: Draw[] = [];
     for (const [customer, tokens] of this.customers) {
       if (tokens.isForgotten(now)) {
@@ -194,30 +214,37 @@
       }
       const first = this.links.inUse.of(customer)[0];
       const isDue = tokens.wants(now) || tokens.surplus(now) > 0;
-      if (first === pool && isDue && !this.open.has(customer)) {
-        this.open.set(customer, {customer, pool, askedAt: now});
-        draws.push(drawOf(now, customer, tokens));
+      if (first === pool && isDue && !this.pendingDraws.has(customer)) {
+        this.pendingDraws.set(customer, {customer, pool, askedAt: now});
+        draws.push(createDraw(now, customer, tokens));
       }
     }
     return draws;
   }
 
-  private granted(
+  private applyGrant(
     now: number,
     pool: string,
     {customer, tokens: count, retryAfterMilliseconds}: Grant,
   ): readonly LimitAction[] {
-    const asked = this.open.get(customer);
+    const pending = this.pendingDraws.get(customer);
     const tokens = this.customers.get(customer);
-    if (asked?.pool !== pool || tokens === undefined) {
-      // Asked too long ago to know when its tokens were made.
+    if (pending?.pool !== pool || tokens === undefined) {
+      // The draw has timed out, so the age of its tokens is not known.
       return [];
     }
-    this.open.delete(customer);
-    tokens.add(asked.askedAt, count);
+    this.pendingDraws.delete(customer);
+    tokens.add(pending.askedAt, count);
     if (retryAfterMilliseconds > 0) {
-      const pause = Math.min(retryAfterMilliseconds, ASK_AGAIN_MILLISECONDS);
-      tokens.emptyAt(pool, now + pause, now + retryAfterMilliseconds);
+      const retryMilliseconds = Math.min(
+        retryAfterMilliseconds,
+        EMPTY_POOL_RETRY_MILLISECONDS,
+      );
+      tokens.emptyAt(
+        pool,
+        now + retryMilliseconds,
+        now + retryAfterMilliseconds,
+      );
     }
     return [...this.admit(now, tokens), ...this.draw(now, customer, tokens)];
   }
@@ -226,29 +253,29 @@
     const actions: LimitAction[] = [];
     while (tokens.waiting.length > 0 && tokens.take(now)) {
       const callId = tokens.waiting.shift() as string;
-      actions.push(decided(callId, ADMITTED));
+      actions.push(decision(callId, ADMITTED));
     }
     return actions;
   }
 
-  private unanswered(
+  private drawTimedOut(
     now: number,
-    {customer, pool}: OpenDraw,
+    {customer, pool}: PendingDraw,
   ): readonly LimitAction[] {
-    this.open.delete(customer);
+    this.pendingDraws.delete(customer);
     this.links.wasSilent(pool);
     const tokens = this.customers.get(customer);
     return tokens === undefined ? [] : this.draw(now, customer, tokens);
   }
 
-  private refuseAll(
+  private refuseWaiting(
     now: number,
     customer: string,
     tokens: CustomerTokens,
   ): readonly LimitAction[] {
     const pools = this.links.inUse.of(customer);
-    const isKnown = pools.some((pool) => tokens.isEmptyAt(now, pool));
-    const admission: Admission = isKnown
+    const isOverLimit = pools.some((pool) => tokens.isEmptyAt(now, pool));
+    const admission: Admission = isOverLimit
       ? {
           kind: 'over-limit',
           retryAfterMilliseconds: tokens.roomAt(pools) - now,
@@ -257,11 +284,11 @@
           kind: 'unknown',
           retryAfterMilliseconds: UNKNOWN_RETRY_MILLISECONDS,
         };
-    return tokens.waiting.splice(0).map((id) => decided(id, admission));
+    return tokens.waiting.splice(0).map((id) => decision(id, admission));
   }
 }
 
-function decided(callId: string, admission: Admission): LimitAction {
+function decision(callId: string, admission: Admission): LimitAction {
   return {kind: 'decided', callId, admission};
 }
 
@@ -269,7 +296,11 @@
   return {kind: 'send', box, request};
 }
 
-function drawOf(now: number, customer: string, tokens: CustomerTokens): Draw {
+function createDraw(
+  now: number,
+  customer: string,
+  tokens: CustomerTokens,
+): Draw {
   const returned = tokens.giveBack(now);
   return {
     customer,
--- a/packages/limits/src/limitMessages.ts
+++ b/packages/limits/src/limitMessages.ts
@@ -1,39 +1,42 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** What a box that takes calls and a box that keeps tokens say to each other. */
+/** Messages between boxes that receive calls and token pools. */
 
-/** A moment of a pool's process, as the pool told it. */
+/** A timestamp of a pool's process, as sent by the pool. */
 export interface PoolMoment {
-  /** Tells processes on one box apart. */
+  /** Distinguishes processes on one box. */
   readonly process: number;
-  /** By the clock of that process, in milliseconds. */
+  /** Milliseconds by the clock of that process. */
   readonly at: number;
 }
 
-/** A box lends its part of all limits, for a while after a moment of the pool's own. */
+/**
+ * Lends a box's share of all limits, for a limited time after a timestamp of
+ * the pool.
+ */
 export interface Loan {
   readonly since: PoolMoment;
-  /** Boxes of the fleet, as far as the lender knows; its part is one of them. */
+  /** Number of boxes known to the lender; its share is one of them. */
   readonly boxes: number;
-  /** The pools that the lender shares its part among, see PoolSet. */
+  /** The set of pools that the lender's share is divided among, see PoolSet. */
   readonly poolsDigest: number;
-  /** Their names; undefined where the pool has been told them before. */
+  /** Names of the pools; undefined if the pool already knows the set. */
   readonly pools: readonly string[] | undefined;
 }
 
-/** A box wants tokens of one customer, or has more than it uses. */
+/** Requests tokens of one customer, or returns surplus ones. */
 export interface Draw {
   readonly customer: string;
-  /** Tokens that the box still has. */
+  /** Tokens in the box's local stock. */
   readonly held: number;
-  /** Calls that wait for one. */
+  /** Calls waiting for a token. */
   readonly waiting: number;
-  /** Tokens that it would like to have in store after those. */
+  /** Tokens requested for the local stock on top of those. */
   readonly stock: number;
-  /** Tokens that come back unused with this message. */
+  /** Tokens returned unused with this message. */
   readonly returned: number;
 }
 
-/** From a box that takes calls to a pool. */
+/** A message to a pool. */
 export interface LimitRequest {
   readonly kind: 'limit-request';
   readonly box: string;
@@ -41,25 +44,28 @@
   readonly draws: readonly Draw[];
 }
 
-/** What a pool gives for a draw. */
+/** A pool's response to a draw. */
 export interface Grant {
   readonly customer: string;
   readonly tokens: number;
-  /** When one will be there, in milliseconds; 0 where enough was given. */
+  /**
+   * Milliseconds until a token is available; 0 if the waiting calls were
+   * covered.
+   */
   readonly retryAfterMilliseconds: number;
 }
 
-/** The answer of a pool. */
+/** A pool's reply. */
 export interface LimitReply {
   readonly kind: 'limit-reply';
   readonly box: string;
   readonly moment: PoolMoment;
-  /** The pools that it takes the asker's part to be shared among; 0 without a loan. */
+  /** Digest of the pool set of the requester's loan; 0 without a loan. */
   readonly poolsDigest: number;
-  /** The pool has to be told the names behind the digest of the loan. */
+  /** The pool does not know the set behind the digest of the loan. */
   readonly lacksPools: boolean;
   readonly grants: readonly Grant[];
 }
 
-/** Either of them. */
+/** A message in either direction. */
 export type LimitMessage = LimitRequest | LimitReply;
--- a/packages/limits/src/poolLinks.ts
+++ b/packages/limits/src/poolLinks.ts
@@ -1,9 +1,9 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
 /**
- * The pools that a box lends its part to. It never lends the same part twice: a pool
- * that falls silent keeps what it was lent until the loan has ended, and only then do
- * the others share it; one that comes back gets its share once the others have said
- * that they have given it up.
+ * The token pools that a box lends its share of all limits to. It never lends
+ * the same share twice: an unresponsive pool keeps its loan until the loan
+ * expires, and only then do the other pools get that share. A pool that returns
+ * gets its share once the others have confirmed that they gave it up.
  */
 
 import type {LimitReply, Loan, PoolMoment} from './limitMessages.js';
@@ -11,69 +11,72 @@
 import {LOAN_MILLISECONDS} from './tokenPool.js';
 
 /**
- * Time between two loans to a pool; one may be lost before it lapses. Each message costs
- * a box as much as an offer, so that they are rare.
+ * Interval between loans to a pool; one message may be lost before a loan
+ * expires. Each message costs a box as much as an offer, so they are kept rare.
  */
-const RENEWAL_MILLISECONDS = 2380;
+const RENEWAL_INTERVAL_MILLISECONDS = 2380;
 
-/** A pool that has said nothing for this long since it was told something is silent. */
-const SILENCE_MILLISECONDS = 700;
+/** A pool is unresponsive if it has not replied for this long. */
+const REPLY_OVERDUE_MILLISECONDS = 700;
 
-/** What is to be told a pool. */
+/** A message due to a pool, with a loan if one can be given. */
 export interface PoolVisit {
   readonly pool: string;
   readonly loan: Loan | undefined;
 }
 
-/** The fleet, as far as the limits go by it. */
+/** The fleet membership that rate limiting depends on. */
 export interface LimitFleet {
-  /** All boxes that may lend a part. */
+  /** Number of boxes that may lend a share. */
   readonly boxes: number;
-  /** Boxes that may keep tokens; the same list until something changes. */
+  /** Boxes that may run a pool; the same array until the membership changes. */
   readonly candidates: readonly string[];
 }
 
 interface PoolLink {
   moment: PoolMoment | undefined;
-  /** When it was first told something that it has not answered. */
-  toldAt: number | undefined;
-  /** It may make tokens of this box's part until then. */
-  lentUntil: number;
-  /** The digest of the pools that it was told last; undefined when it lacks them. */
-  knowsPools: number | undefined;
-  /** Nothing was lent to it since the pools were others. */
+  /** Time of the earliest message that has no reply yet. */
+  unansweredSince: number | undefined;
+  /** The pool may accrue tokens from this box's share until then. */
+  loanedUntil: number;
+  /**
+   * Digest of the pool set sent last; undefined if the pool does not know the
+   * set.
+   */
+  sentPoolsDigest: number | undefined;
+  /** The pool has had no loan in the current pool set. */
   isNew: boolean;
-  /** What it was lent while the pools were others lasts until then. */
+  /** Expiry of the last loan given under the previous pool set. */
   earlierUntil: number;
-  /** The pools that it last said the loan is shared among. */
-  confirmed: number;
-  isSilent: boolean;
+  /** Digest of the pool set that the pool last confirmed. */
+  confirmedDigest: number;
+  isUnresponsive: boolean;
 }
 
-/** Decides which pools are used, and when each is told. */
+/** Selects the active pools and decides when each is contacted. */
 export class PoolLinks {
   private readonly links = new Map<string, PoolLink>();
   private pools = new PoolSet([]);
-  private nextAt = 0;
+  private nextRenewalAt = 0;
   private boxes = 0;
-  private ideal: readonly string[] = [];
-  private idealOf: readonly string[] | undefined;
-  /** Since when no pool answers; undefined while one does. */
-  private aloneSince: number | undefined;
+  private preferredPools: readonly string[] = [];
+  private preferredFrom: readonly string[] | undefined;
+  /** Since when no pool responds; undefined while one does. */
+  private isolatedSince: number | undefined;
 
   constructor(private readonly box: string) {}
 
-  /** The pools that share this box's part now. */
+  /** The pools that this box's share is divided among. */
   get inUse(): PoolSet {
     return this.pools;
   }
 
-  /** Whether a pool is worth asking. */
+  /** Whether the pool is responsive. */
   answers(pool: string): boolean {
-    return this.links.get(pool)?.isSilent === false;
+    return this.links.get(pool)?.isUnresponsive === false;
   }
 
-  /** A pool said something; one that has nothing from this box is lent to at once. */
+  /** Records a reply. Pools that may now be lent to get a loan at once. */
   heard(
     now: number,
     {box, moment, poolsDigest, lacksPools}: LimitReply,
@@ -82,175 +85,189 @@
     if (link === undefined) {
       return [];
     }
-    const isOther = link.moment?.process !== moment.process;
+    const isNewProcess = link.moment?.process !== moment.process;
     link.moment = moment;
-    link.confirmed = poolsDigest;
-    link.toldAt = undefined;
-    link.isSilent = false;
-    if (isOther) {
-      // What was lent to the process before ended with it.
-      link.lentUntil = 0;
+    link.confirmedDigest = poolsDigest;
+    link.unansweredSince = undefined;
+    link.isUnresponsive = false;
+    if (isNewProcess) {
+      // The previous process's loans ended with it.
+      link.loanedUntil = 0;
       link.earlierUntil = 0;
     }
-    this.choose(now);
-    if (isOther || lacksPools) {
-      link.knowsPools = undefined;
+    this.updateActivePools(now);
+    if (isNewProcess || lacksPools) {
+      link.sentPoolsDigest = undefined;
     }
-    // With this answer a new pool may have become free to lend to as well.
+    // This reply may also free the share that another new pool waits for.
     return this.pools.names
-      .filter((pool) => this.lacksLoan(pool) && this.mayLend(now, pool))
-      .map((pool) => this.visit(now, pool));
+      .filter((pool) => this.needsLoan(pool) && this.canLend(now, pool))
+      .map((pool) => this.createUpdate(now, pool));
   }
 
-  /** A pool did not answer in time. */
+  /** Marks a pool that did not reply in time. */
   wasSilent(pool: string): void {
     const link = this.links.get(pool);
     if (link !== undefined) {
-      link.isSilent = true;
+      link.isUnresponsive = true;
     }
   }
 
-  /** Whether no pool has been heard of yet. */
+  /** Whether no pool has replied yet. */
   get isStarting(): boolean {
     return this.pools.names.length === 0;
   }
 
-  /** The pools that have fallen silent since, each once for each such time. */
+  /**
+   * Pools that have newly exceeded the reply timeout; each time-out is reported
+   * once.
+   */
   silent(now: number): readonly string[] {
-    const found: string[] = [];
+    const overdue: string[] = [];
     for (const [pool, link] of this.links) {
-      const {toldAt} = link;
-      if (toldAt !== undefined && now - toldAt > SILENCE_MILLISECONDS) {
-        link.isSilent = true;
-        link.toldAt = now;
-        found.push(pool);
+      const {unansweredSince} = link;
+      if (
+        unansweredSince !== undefined &&
+        now - unansweredSince > REPLY_OVERDUE_MILLISECONDS
+      ) {
+        link.isUnresponsive = true;
+        link.unansweredSince = now;
+        overdue.push(pool);
       }
     }
-    return found;
+    return overdue;
   }
 
   /**
-   * The clock counts this much more time from here on, which may not have passed: what
-   * was lent is not yet free to be lent to others.
+   * The clock jumped ahead by a time that may not have passed. Loans are
+   * extended by it, so that a share still lent is not lent to others.
    */
   clockGained(milliseconds: number): void {
     for (const link of this.links.values()) {
-      link.lentUntil += milliseconds;
+      link.loanedUntil += milliseconds;
       link.earlierUntil += milliseconds;
     }
   }
 
-  /** Whom to tell now. */
+  /** Returns the messages due now. */
   tick(now: number, fleet: LimitFleet): readonly PoolVisit[] {
     this.boxes = fleet.boxes;
-    this.wantPools(fleet.candidates);
-    this.choose(now);
-    const isDue = now >= this.nextAt;
+    this.updatePreferredPools(fleet.candidates);
+    this.updateActivePools(now);
+    const isDue = now >= this.nextRenewalAt;
     if (isDue) {
-      this.nextAt = now + RENEWAL_MILLISECONDS;
+      this.nextRenewalAt = now + RENEWAL_INTERVAL_MILLISECONDS;
     }
-    // One that has not answered may have just started, and waits for loans.
-    const told = new Set([...this.ideal, ...this.pools.names]);
-    return [...told]
+    // A pool that has not replied may have just started and needs a loan.
+    const recipients = new Set([...this.preferredPools, ...this.pools.names]);
+    return [...recipients]
       .filter((pool) => isDue || !this.answers(pool))
-      .map((pool) => this.visit(now, pool));
+      .map((pool) => this.createUpdate(now, pool));
   }
 
-  private wantPools(boxes: readonly string[]): void {
-    if (boxes !== this.idealOf) {
-      this.idealOf = boxes;
-      this.ideal = poolsAmong(boxes);
+  private updatePreferredPools(boxes: readonly string[]): void {
+    if (boxes !== this.preferredFrom) {
+      this.preferredFrom = boxes;
+      this.preferredPools = poolsAmong(boxes);
     }
-    for (const pool of [...this.ideal, this.box]) {
+    for (const pool of [...this.preferredPools, this.box]) {
       if (!this.links.has(pool)) {
-        this.links.set(pool, newLink());
+        this.links.set(pool, createLink());
       }
     }
   }
 
-  /** Takes pools in and out of use, where no part can be lent twice by it. */
-  private choose(now: number): void {
-    const wanted = this.wanted(now);
+  /**
+   * Adds and removes active pools, but only where no share can be lent twice.
+   */
+  private updateActivePools(now: number): void {
+    const targetPools = this.targetPools(now);
     const {names} = this.pools;
     const kept = names.filter(
-      (pool) => wanted.includes(pool) || this.link(pool).lentUntil >= now,
+      (pool) =>
+        targetPools.includes(pool) || this.link(pool).loanedUntil >= now,
     );
-    const added = wanted.filter((pool) => !names.includes(pool));
+    const added = targetPools.filter((pool) => !names.includes(pool));
     if (added.length === 0 && kept.length === names.length) {
       return;
     }
     for (const link of this.links.values()) {
-      link.earlierUntil = link.lentUntil;
+      link.earlierUntil = link.loanedUntil;
     }
     added.forEach((pool) => (this.link(pool).isNew = true));
     this.pools = new PoolSet([...kept, ...added]);
-    this.nextAt = now;
+    this.nextRenewalAt = now;
   }
 
-  /** A box that no pool has answered for a while lives on its own part. */
-  private wanted(now: number): readonly string[] {
-    const alive = this.ideal.filter((pool) => this.answers(pool));
-    if (alive.length > 0) {
-      this.aloneSince = undefined;
-      return alive;
+  /**
+   * After the last loan has expired, a box that reaches no pool becomes the
+   * pool of its own share.
+   */
+  private targetPools(now: number): readonly string[] {
+    const responsive = this.preferredPools.filter((pool) => this.answers(pool));
+    if (responsive.length > 0) {
+      this.isolatedSince = undefined;
+      return responsive;
     }
-    this.aloneSince ??= now;
-    return now - this.aloneSince > LOAN_MILLISECONDS ? [this.box] : [];
+    this.isolatedSince ??= now;
+    return now - this.isolatedSince > LOAN_MILLISECONDS ? [this.box] : [];
   }
 
-  /** Nothing of this box's part was lent to the pool as it is now. */
-  private lacksLoan(pool: string): boolean {
-    const {isNew, knowsPools} = this.link(pool);
-    return isNew || knowsPools === undefined;
+  /** The pool has no loan in the current pool set. */
+  private needsLoan(pool: string): boolean {
+    const {isNew, sentPoolsDigest} = this.link(pool);
+    return isNew || sentPoolsDigest === undefined;
   }
 
-  private mayLend(now: number, pool: string): boolean {
-    const {isSilent, moment, isNew} = this.link(pool);
-    const isUsed = this.pools.names.includes(pool) && !isSilent;
+  private canLend(now: number, pool: string): boolean {
+    const {isUnresponsive, moment, isNew} = this.link(pool);
+    const isUsed = this.pools.names.includes(pool) && !isUnresponsive;
     return isUsed && moment !== undefined && (!isNew || this.isFree(now, pool));
   }
 
-  /** Whether the other pools have given up what a new one is to be lent. */
+  /**
+   * Whether all other pools have given up the share that a new pool is to get.
+   */
   private isFree(now: number, added: string): boolean {
     const {names, digest} = this.pools;
     return names.every((pool) => {
-      const {earlierUntil, confirmed} = this.link(pool);
-      return pool === added || earlierUntil < now || confirmed === digest;
+      const {earlierUntil, confirmedDigest} = this.link(pool);
+      return pool === added || earlierUntil < now || confirmedDigest === digest;
     });
   }
 
-  private visit(now: number, pool: string): PoolVisit {
+  private createUpdate(now: number, pool: string): PoolVisit {
     const link = this.link(pool);
-    link.toldAt ??= now;
-    if (link.moment === undefined || !this.mayLend(now, pool)) {
+    link.unansweredSince ??= now;
+    if (link.moment === undefined || !this.canLend(now, pool)) {
       return {pool, loan: undefined};
     }
-    link.lentUntil = now + LOAN_MILLISECONDS;
+    link.loanedUntil = now + LOAN_MILLISECONDS;
     link.isNew = false;
     const {digest, names} = this.pools;
-    const pools = link.knowsPools === digest ? undefined : names;
-    link.knowsPools = digest;
+    const pools = link.sentPoolsDigest === digest ? undefined : names;
+    link.sentPoolsDigest = digest;
     const {boxes} = this;
     const loan = {since: link.moment, boxes, poolsDigest: digest, pools};
     return {pool, loan};
   }
 
   private link(pool: string): PoolLink {
-    const found = this.links.get(pool) ?? newLink();
-    this.links.set(pool, found);
-    return found;
+    const link = this.links.get(pool) ?? createLink();
+    this.links.set(pool, link);
+    return link;
   }
 }
 
-function newLink(): PoolLink {
+function createLink(): PoolLink {
   return {
     moment: undefined,
-    toldAt: undefined,
-    lentUntil: 0,
-    knowsPools: undefined,
+    unansweredSince: undefined,
+    loanedUntil: 0,
+    sentPoolsDigest: undefined,
     isNew: true,
     earlierUntil: 0,
-    confirmed: 0,
-    isSilent: true,
+    confirmedDigest: 0,
+    isUnresponsive: true,
   };
 }
--- a/packages/limits/src/poolPlacement.ts
+++ b/packages/limits/src/poolPlacement.ts
@@ -1,37 +1,40 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Which boxes keep the tokens of customers, and which of them a customer's. */
+/** Selects the boxes that run token pools, and the pools of each customer. */
 
 import {stableHash} from '@lockpin/utils';
 
 /**
- * Each box tells every pool of itself again and again, so that pools are few; each
- * pool answers for its customers, so that they are not one.
+ * Every box contacts every pool regularly, so there must be few pools; each
+ * pool serves the draws of its customers, so there must be more than one.
  */
 const BOXES_PER_POOL = 32;
 
-/** Messages of one box grow with the pools, however large the fleet. */
-const MOST_POOLS = 64;
+/** Bounds the messages that one box sends, however large the fleet is. */
+const MAXIMUM_POOLS = 64;
 
-/** With two, one may go without a word. */
-const LEAST_POOLS = 2;
+/** With two pools, one may fail without warning. */
+const MINIMUM_POOLS = 2;
 
 /**
- * Parts of a customer's limit at its first and at its second pool. A customer that
- * makes five calls of eight that it may make is served by the first alone; with the
- * first one gone, its calls go on with the second one's part.
+ * Shares of a customer's limit at its first and its second pool. A customer
+ * that uses five eighths of its limit is served by the first pool alone; if
+ * that one fails, its calls continue on the second pool's share.
  */
-const PARTS: readonly number[] = [0.75, 0.25];
+const LIMIT_SHARES: readonly number[] = [0.75, 0.25];
 
-/** The boxes that keep tokens, the same on all nodes that know the same boxes. */
+/**
+ * Selects the boxes that run pools; the same on all nodes that know the same
+ * boxes.
+ */
 export function poolsAmong(boxes: readonly string[]): readonly string[] {
-  const wanted = Math.ceil(boxes.length / BOXES_PER_POOL);
-  const count = Math.min(MOST_POOLS, Math.max(LEAST_POOLS, wanted));
-  return ranked(boxes, (box) => `pool ${box}`).slice(0, count);
+  const targetCount = Math.ceil(boxes.length / BOXES_PER_POOL);
+  const count = Math.min(MAXIMUM_POOLS, Math.max(MINIMUM_POOLS, targetCount));
+  return rankByHash(boxes, (box) => `pool ${box}`).slice(0, count);
 }
 
-/** Pools that share the parts of boxes; the same object as long as they do. */
+/** An immutable set of pools that share the boxes' limits. */
 export class PoolSet {
-  /** Names the set on the wire. */
+  /** Identifies the set on the wire. */
   readonly digest: number;
   private readonly byCustomer = new Map<string, readonly string[]>();
 
@@ -39,27 +42,32 @@
     this.digest = stableHash([...names].sort().join(' '));
   }
 
-  /** The pools of a customer, the first one first. */
+  /** The pools of a customer, the preferred one first. */
   of(customer: string): readonly string[] {
     const found = this.byCustomer.get(customer);
     if (found !== undefined) {
       return found;
     }
-    const made = ranked(this.names, (pool) => `${customer} ${pool}`);
-    const own = made.slice(0, PARTS.length);
-    this.byCustomer.set(customer, own);
-    return own;
+    const ranking = rankByHash(this.names, (pool) => `${customer} ${pool}`);
+    const customerPools = ranking.slice(0, LIMIT_SHARES.length);
+    this.byCustomer.set(customer, customerPools);
+    return customerPools;
   }
 
-  /** The part of a customer's limit that a pool has; 0 for one that is not its. */
+  /**
+   * The share of a customer's limit that a pool has; 0 if it is not a pool of
+   * the customer.
+   */
   partOf(pool: string, customer: string): number {
-    const own = this.of(customer);
-    const place = own.indexOf(pool);
-    return own.length === 1 && place === 0 ? 1 : (PARTS[place] ?? 0);
+    const customerPools = this.of(customer);
+    const index = customerPools.indexOf(pool);
+    return customerPools.length === 1 && index === 0
+      ? 1
+      : (LIMIT_SHARES[index] ?? 0);
   }
 }
 
-function ranked(
+function rankByHash(
   names: readonly string[],
   textOf: (name: string) => string,
 ): readonly string[] {
--- a/packages/limits/src/rateLimit.ts
+++ b/packages/limits/src/rateLimit.ts
@@ -1,24 +1,24 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** What a customer may call, and how many of its calls may be allowed at once. */
+/** Rate limits of customers and the number of tokens that keeps them. */
 
-/** A customer's limit as its operators state it; over all boxes together. */
+/** A customer's limit as configured, over all boxes together. */
 export interface RateLimit {
   readonly callsPerSecond: number;
-  /** Calls on top, at once. */
+  /** Additional calls allowed in a burst. */
   readonly burst: number;
 }
 
-/** How exactly a limit is to be kept. */
+/** The tolerance with which limits are enforced. */
 export interface LimitRules {
-  /** Every span of this length counts. */
+  /** Length of the sliding window that limits apply to. */
   readonly windowMilliseconds: number;
-  /** Share of what a window allows that may be exceeded. */
+  /** Share of a window's calls by which the limit may be exceeded. */
   readonly overage: number;
-  /** Calls of a window that may come on top of that. */
+  /** Calls per window allowed in addition to that. */
   readonly slack: number;
 }
 
-/** For deployments that say nothing of it. */
+/** The rules of deployments that configure none. */
 export const DEFAULT_LIMIT_RULES: LimitRules = {
   windowMilliseconds: 5000,
   overage: 0.1,
@@ -26,13 +26,13 @@
 };
 
 /**
- * A call is counted when it is allowed and seen when it reaches its upstream, up to this
- * much later. What is allowed before a window and arrives in it has to fit in what the
- * rules leave.
+ * A call is counted when it is admitted, and reaches its upstream up to this
+ * much later. Calls admitted before a window that arrive in it have to fit into
+ * the tolerance of the rules.
  */
-const ARRIVAL_SECONDS = 0.4;
+const ARRIVAL_DELAY_SECONDS = 0.4;
 
-/** Calls that the fleet may run in any window of the rules. */
+/** The number of calls that the fleet may run in any window. */
 export function mostInWindow(
   {callsPerSecond, burst}: RateLimit,
   {windowMilliseconds, overage, slack}: LimitRules,
@@ -42,13 +42,13 @@
 }
 
 /**
- * Tokens that may exist at a time, each for one call. In a window no more calls can be
- * allowed than there were tokens at its beginning and are made in it, so that this
- * many keep the rules wherever the tokens are and whoever made them.
+ * The number of tokens that may exist at a time, each for one call. A window
+ * cannot admit more calls than there are tokens at its start plus those accrued
+ * in it, so this number keeps the rules wherever the tokens are.
  */
 export function tokenCapacity(limit: RateLimit, rules: LimitRules): number {
   const {callsPerSecond} = limit;
-  const made = (callsPerSecond * rules.windowMilliseconds) / 1000;
-  const late = callsPerSecond * ARRIVAL_SECONDS;
-  return Math.max(1, mostInWindow(limit, rules) - made - late);
+  const accrued = (callsPerSecond * rules.windowMilliseconds) / 1000;
+  const inTransit = callsPerSecond * ARRIVAL_DELAY_SECONDS;
+  return Math.max(1, mostInWindow(limit, rules) - accrued - inTransit);
 }
--- a/packages/limits/src/tokenPool.ts
+++ b/packages/limits/src/tokenPool.ts
@@ -1,9 +1,10 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
 /**
- * The tokens of customers that a box keeps for the fleet. It makes them only out of
- * the parts that boxes lend it, each box to each pool for a while: no two pools make
- * the same token, whatever they believe of each other, and none is made for a box that
- * is cut off.
+ * A token bucket per customer, kept by one box on behalf of the fleet. Boxes
+ * lend the pool their share of all limits for a limited time, and tokens accrue
+ * only from lent shares. So no two pools accrue the same token even if they
+ * disagree about the membership, and none accrues for a box that is partitioned
+ * off.
  */
 
 import type {
@@ -18,50 +19,57 @@
 import type {LimitRules, RateLimit} from './rateLimit.js';
 
 /**
- * A loan lasts this long after the moment of the pool that the lender goes by, which is
- * one renewal old; a cut box has its part back after it.
+ * Validity of a loan, counted from the pool timestamp that the lender quotes,
+ * which is one renewal interval old. After it, a partitioned box has its share
+ * back.
  */
 export const LOAN_MILLISECONDS = 6000;
 
-/** A box uses the tokens in its store within this time, or loses them. */
+/** Tokens in a box's local stock expire after this time. */
 export const STOCK_MILLISECONDS = 4000;
 
-/** Boxes that asked within this time share what is there. */
-const CONTENDER_MILLISECONDS = 500;
+/** Boxes that drew within this time share the available tokens. */
+const CONTENTION_WINDOW_MILLISECONDS = 500;
 
-/** Boxes come and go all day, and each time the pools may be others. */
-const MOST_POOL_SETS = 32;
+/** Bounds the sets kept, since each membership change may bring a new set. */
+const MAXIMUM_POOL_SETS = 32;
 
-/** Looking at all loans for each draw would cost more than the draw. */
-const REFILL_MILLISECONDS = 50;
+/**
+ * Refilling iterates over all loans, which costs more than a draw; draws reuse
+ * a refill that is younger than this.
+ */
+const REFILL_INTERVAL_MILLISECONDS = 50;
 
-/** Part of a customer's tokens that boxes may have in store, to use without asking. */
+/**
+ * Share of a customer's tokens that boxes may hold in local stock, to use
+ * without asking the pool.
+ */
 const STOCK_SHARE = 0.8;
 
-/** Bounds of the time after which a box that got nothing asks again. */
-const SHORTEST_RETRY_MILLISECONDS = 100;
-const LONGEST_RETRY_MILLISECONDS = 1000;
+/** Bounds of the retry delay returned to a box that got too few tokens. */
+const MINIMUM_RETRY_MILLISECONDS = 100;
+const MAXIMUM_RETRY_MILLISECONDS = 1000;
 
-/** What a pool has to know of its node. */
+/** Dependencies of a token pool. */
 export interface TokenPoolContext {
   readonly box: string;
-  /** Tells this process from earlier ones on the box. */
+  /** Distinguishes this process from earlier ones on the same box. */
   readonly process: number;
   readonly limitOf: (customer: string) => RateLimit | undefined;
   readonly rules: () => LimitRules;
-  /** Boxes that are known here. */
+  /** Number of boxes known to this node. */
   readonly boxes: () => number;
 }
 
 interface Lender {
   readonly pools: PoolSet;
   readonly boxes: number;
-  /** When the loan under way began, without a break until now. */
+  /** Start of the uninterrupted sequence of loans. */
   readonly begunAt: number;
   readonly until: number;
 }
 
-/** What a box may still have in store. */
+/** Upper bound of what a box still holds in local stock. */
 interface Stock {
   readonly tokens: number;
   readonly until: number;
@@ -71,14 +79,14 @@
   readonly customer: string;
   tokens: number;
   refilledAt: number;
-  /** Part of the limit that was lent to this pool when last looked at. */
-  part: number;
+  /** Share of the limit lent to this pool at the last refill. */
+  share: number;
   readonly stocks: Map<string, Stock>;
-  /** When each box last asked. */
+  /** Time of each box's last draw. */
   readonly askedAt: Map<string, number>;
 }
 
-/** Makes tokens and gives them out. */
+/** Accrues tokens and grants them to boxes. */
 export class TokenPool {
   private readonly lenders = new Map<string, Lender>();
   private readonly poolSets = new Map<number, PoolSet>();
@@ -86,27 +94,29 @@
 
   constructor(private readonly context: TokenPoolContext) {}
 
-  /** Takes a box's loan, and gives it tokens. */
+  /** Records a box's loan and grants the tokens it draws. */
   answer(now: number, {box, loan, draws}: LimitRequest): LimitReply {
-    const lacksPools = loan !== undefined && !this.lend(now, box, loan);
+    const lacksPools = loan !== undefined && !this.acceptLoan(now, box, loan);
     return {
       kind: 'limit-reply',
       box: this.context.box,
       moment: {process: this.context.process, at: now},
       poolsDigest: this.lenders.get(box)?.pools.digest ?? 0,
       lacksPools,
-      grants: draws.map((draw) => this.give(now, box, draw)),
+      grants: draws.map((draw) => this.grant(now, box, draw)),
     };
   }
 
-  /** Makes the tokens of the time since the last tick. */
+  /**
+   * Drops expired loans and accrues tokens for the time since the last tick.
+   */
   tick(now: number): void {
     for (const [box, {until}] of this.lenders) {
       if (until < now) {
         this.lenders.delete(box);
       }
     }
-    this.forgetPoolSets();
+    this.evictUnusedPoolSets();
     for (const [customer, account] of this.accounts) {
       const limit = this.context.limitOf(customer);
       if (limit === undefined) {
@@ -118,8 +128,8 @@
   }
 
   /**
-   * The clock counts this much more time from here on, which may not have passed: no
-   * tokens are made for it, and those in boxes' stores are not taken for lapsed.
+   * The clock jumped ahead by a time that may not have passed. No tokens accrue
+   * for it, and it does not expire tokens in local stocks.
    */
   clockGained(milliseconds: number): void {
     for (const [box, lender] of this.lenders) {
@@ -134,9 +144,12 @@
     }
   }
 
-  /** Sets that no lender goes by any more; one that does names them again. */
-  private forgetPoolSets(): void {
-    if (this.poolSets.size <= MOST_POOL_SETS) {
+  /**
+   * Evicts sets that no loan refers to; a lender that needs one again resends
+   * it.
+   */
+  private evictUnusedPoolSets(): void {
+    if (this.poolSets.size <= MAXIMUM_POOL_SETS) {
       return;
     }
     const used = new Set([...this.lenders.values()].map(({pools}) => pools));
@@ -147,8 +160,11 @@
     }
   }
 
-  /** False when the loan names pools that were never told. */
-  private lend(now: number, box: string, loan: Loan): boolean {
+  /**
+   * Returns false if the loan refers to a pool set that this pool does not
+   * know.
+   */
+  private acceptLoan(now: number, box: string, loan: Loan): boolean {
     if (loan.pools !== undefined && !this.poolSets.has(loan.poolsDigest)) {
       this.poolSets.set(loan.poolsDigest, new PoolSet(loan.pools));
     }
@@ -161,102 +177,114 @@
     if (since.process !== this.context.process || until < now) {
       return true;
     }
-    const before = this.lenders.get(box);
-    const goesOn =
-      before !== undefined && before.until >= now && before.pools === pools;
-    const begunAt = goesOn ? before.begunAt : now;
+    const previous = this.lenders.get(box);
+    const isRenewal =
+      previous !== undefined &&
+      previous.until >= now &&
+      previous.pools === pools;
+    const begunAt = isRenewal ? previous.begunAt : now;
     this.lenders.set(box, {pools, boxes, begunAt, until});
     return true;
   }
 
-  /** Makes what the loans of the time since the last look allow. */
+  /** Accrues the tokens that the loans allow since the last refill. */
   private refill(now: number, limit: RateLimit, account: Account): void {
     const since = account.refilledAt;
-    let part = 0;
-    let made = 0;
-    this.eachLoan(now, account.customer, (lent, begunAt) => {
-      part += lent;
-      made += lent * (now - Math.max(since, begunAt));
+    let share = 0;
+    let accrued = 0;
+    this.forEachLoan(now, account.customer, (lentShare, begunAt) => {
+      share += lentShare;
+      accrued += lentShare * (now - Math.max(since, begunAt));
     });
-    const tokens = account.tokens + (made * limit.callsPerSecond) / 1000;
-    account.part = part;
+    const tokens = account.tokens + (accrued * limit.callsPerSecond) / 1000;
+    account.share = share;
     account.refilledAt = now;
     const {capacity, stocked} = this.bounds(now, limit, account);
     account.tokens = Math.min(tokens, Math.max(0, capacity - stocked));
   }
 
-  /** Calls back with the part of a limit that each box lends now, and since when. */
-  private eachLoan(
+  /**
+   * Calls back with the share of a limit that each valid loan lends, and its
+   * start.
+   */
+  private forEachLoan(
     now: number,
     customer: string,
-    run: (part: number, begunAt: number) => void,
+    callback: (share: number, begunAt: number) => void,
   ): void {
-    const known = this.context.boxes();
+    const knownBoxes = this.context.boxes();
     for (const {pools, boxes, begunAt, until} of this.lenders.values()) {
       if (until >= now) {
-        const part = pools.partOf(this.context.box, customer);
-        run(part / Math.max(1, boxes, known), begunAt);
+        const share = pools.partOf(this.context.box, customer);
+        callback(share / Math.max(1, boxes, knownBoxes), begunAt);
       }
     }
   }
 
-  /** Tokens that may exist here and in boxes' stores, and those in the stores. */
+  /**
+   * The number of tokens that may exist here and in local stocks, and the
+   * number in local stocks.
+   */
   private bounds(
     now: number,
     limit: RateLimit,
-    {part, stocks}: Account,
+    {share, stocks}: Account,
   ): {readonly capacity: number; readonly stocked: number} {
-    const capacity = tokenCapacity(limit, this.context.rules()) * part;
-    return {capacity, stocked: inStock(now, stocks)};
+    const capacity = tokenCapacity(limit, this.context.rules()) * share;
+    return {capacity, stocked: sumStocks(now, stocks)};
   }
 
-  private give(now: number, box: string, draw: Draw): Grant {
+  private grant(now: number, box: string, draw: Draw): Grant {
     const {customer, held, waiting, stock, returned} = draw;
     const limit = this.context.limitOf(customer);
     if (limit === undefined) {
-      // A version that the asker has is not in force here yet.
-      const retryAfterMilliseconds = SHORTEST_RETRY_MILLISECONDS;
+      // The requesting box has a newer configuration than this one.
+      const retryAfterMilliseconds = MINIMUM_RETRY_MILLISECONDS;
       return {customer, tokens: 0, retryAfterMilliseconds};
     }
     const account =
-      this.accounts.get(customer) ?? this.open(now, customer, limit);
-    if (now - account.refilledAt >= REFILL_MILLISECONDS) {
+      this.accounts.get(customer) ?? this.openAccount(now, customer, limit);
+    if (now - account.refilledAt >= REFILL_INTERVAL_MILLISECONDS) {
       this.refill(now, limit, account);
     }
     account.askedAt.set(box, now);
     setStock(account, box, held, now);
     const {capacity, stocked} = this.bounds(now, limit, account);
-    const room = Math.max(0, capacity - stocked);
-    account.tokens = Math.min(room, account.tokens + returned);
-    const contenders = countSince(account.askedAt, now);
-    const fair = Math.max(1, account.tokens / contenders);
-    const forCalls = Math.floor(Math.min(waiting, fair, account.tokens));
-    const left = account.tokens - forCalls;
+    const headroom = Math.max(0, capacity - stocked);
+    account.tokens = Math.min(headroom, account.tokens + returned);
+    const contenders = countContenders(account.askedAt, now);
+    const fairShare = Math.max(1, account.tokens / contenders);
+    const forCalls = Math.floor(Math.min(waiting, fairShare, account.tokens));
+    const remaining = account.tokens - forCalls;
     const stockRoom = Math.min(
-      left * STOCK_SHARE,
-      left / contenders,
+      remaining * STOCK_SHARE,
+      remaining / contenders,
       capacity * STOCK_SHARE - stocked,
     );
     const forStock = Math.floor(Math.max(0, Math.min(stock, stockRoom)));
-    account.tokens = left - forStock;
+    account.tokens = remaining - forStock;
     setStock(account, box, held + forStock, now);
     const isShort = forCalls < waiting;
     return {
       customer,
       tokens: forCalls + forStock,
       retryAfterMilliseconds: isShort
-        ? nextToken(limit, account, contenders)
+        ? nextTokenDelay(limit, account, contenders)
         : 0,
     };
   }
 
-  /** A customer that has not called has the tokens that were made meanwhile. */
-  private open(now: number, customer: string, limit: RateLimit): Account {
+  /** Starts at time 0, so that the customer gets the tokens accrued so far. */
+  private openAccount(
+    now: number,
+    customer: string,
+    limit: RateLimit,
+  ): Account {
     const account: Account = {
       customer,
       tokens: 0,
       refilledAt: 0,
-      part: 0,
+      share: 0,
       stocks: new Map(),
       askedAt: new Map(),
     };
@@ -279,7 +307,7 @@
   }
 }
 
-function inStock(now: number, stocks: Map<string, Stock>): number {
+function sumStocks(now: number, stocks: Map<string, Stock>): number {
   let sum = 0;
   for (const [box, {tokens, until}] of stocks) {
     if (until < now) {
@@ -291,29 +319,29 @@
   return sum;
 }
 
-/** Boxes that asked a short while ago; earlier ones are forgotten. */
-function countSince(askedAt: Map<string, number>, now: number): number {
+/** Boxes that drew recently; older entries are removed. */
+function countContenders(askedAt: Map<string, number>, now: number): number {
   for (const [box, at] of askedAt) {
-    if (now - at > CONTENDER_MILLISECONDS) {
+    if (now - at > CONTENTION_WINDOW_MILLISECONDS) {
       askedAt.delete(box);
     }
   }
   return Math.max(1, askedAt.size);
 }
 
-/** When there will be a token for each box that asks. */
-function nextToken(
+/** Milliseconds until there is a token for each contending box. */
+function nextTokenDelay(
   {callsPerSecond}: RateLimit,
-  {tokens, part}: Account,
+  {tokens, share}: Account,
   contenders: number,
 ): number {
-  const perMillisecond = (callsPerSecond * part) / 1000;
+  const perMillisecond = (callsPerSecond * share) / 1000;
   const wait =
     perMillisecond > 0
       ? (contenders - tokens) / perMillisecond
-      : LONGEST_RETRY_MILLISECONDS;
+      : MAXIMUM_RETRY_MILLISECONDS;
   return Math.min(
-    LONGEST_RETRY_MILLISECONDS,
-    Math.max(SHORTEST_RETRY_MILLISECONDS, wait),
+    MAXIMUM_RETRY_MILLISECONDS,
+    Math.max(MINIMUM_RETRY_MILLISECONDS, wait),
   );
 }
