--- a/packages/cli/src/__tests__/callExplanation.test.ts
+++ b/packages/cli/src/__tests__/callExplanation.test.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** A request's story out of log lines. */
+/** Explaining a request from log lines. */
 
 import {describe, expect, it} from 'vitest';
 import {explainCall, readLogLine} from '../callExplanation.js';
@@ -45,7 +45,7 @@
 ];
 
 describe('explainCall', () => {
-  it('tells what became of a request, with what its boxes believed then', () => {
+  it('returns the lines of a request with the context events of its boxes', () => {
     expect(explainCall(LINES, 'x')).toEqual([
       '2026-01-01T00:00:01.000Z  guard  upstream-doubted  subject=s/guard remaining=2000',
       '2026-01-01T00:00:02.500Z  guard  guard-call  outcome=unknown reason=upstream-failed',
@@ -54,13 +54,13 @@
     ]);
   });
 
-  it('says nothing of a request that no line names', () => {
+  it('returns no lines for an unknown request', () => {
     expect(explainCall(LINES, 'z')).toEqual([]);
   });
 });
 
-describe('readLogLine', () => {
-  it('takes a line that a collector has put words before', () => {
+describe('parseLogLine', () => {
+  it('parses a line with a prefix added by a log collector', () => {
     const line = readLogLine(
       '12.5 box-1 {"time":"t","event":"call","box":"b"}',
     );
@@ -68,7 +68,7 @@
   });
 
   it.each(['', 'plain text', '{"time":"t"}', '{broken'])(
-    'passes over %j',
+    'ignores %j',
     (text) => {
       expect(readLogLine(text)).toBeUndefined();
     },
--- a/packages/cli/src/__tests__/manifests.test.ts
+++ b/packages/cli/src/__tests__/manifests.test.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Manifests and their problems. */
+/** Reading and validation of manifests, and exit codes of failing commands. */
 
 import {describe, expect, it} from 'vitest';
 import {parseManifests, readManifests} from '../manifests.js';
@@ -13,7 +13,7 @@
 }
 
 describe('readManifests', () => {
-  it('says why a file cannot be read', async () => {
+  it('reports why a file cannot be read', async () => {
     expect(await readManifests(['no-such-file'])).toEqual({
       ok: false,
       failure: [{field: 'no-such-file', problem: 'cannot be read: ENOENT'}],
@@ -22,7 +22,7 @@
 });
 
 describe('parseManifests', () => {
-  it('reads YAML documents and JSON alike', () => {
+  it('parses YAML documents and JSON arrays', () => {
     const yaml = 'kind: Customer\nname: a\n---\nkind: Customer\nname: b\n';
     const json =
       '[{"kind":"Customer","name":"a"},{"kind":"Customer","name":"b"}]';
@@ -34,7 +34,7 @@
     expect(names(json)).toEqual(['a', 'b']);
   });
 
-  it('names the field that is unknown or wrong', () => {
+  it('reports unknown and invalid fields by name', () => {
     const text = [
       'kind: Upstream',
       'name: a/b/c',
@@ -46,7 +46,7 @@
     expect(problems.join('\n')).toMatch(/spec: Unrecognized key: "colour"/);
   });
 
-  it('says what a name must look like', () => {
+  it('reports the expected form of a name', () => {
     expect(problemsOf('kind: Service\nname: b\n')).toEqual([
       'Service b: name: a Service is named customer/service',
     ]);
@@ -54,23 +54,23 @@
 });
 
 describe('run', () => {
-  it('ends with the code of wrong use when a command is unknown', async () => {
-    const written: string[] = [];
+  it('exits with the usage code when the command is unknown', async () => {
+    const output: string[] = [];
     const code = await run(['nonsense'], {
-      out: (text) => written.push(text),
-      err: (text) => written.push(text),
+      out: (text) => output.push(text),
+      err: (text) => output.push(text),
     });
     expect(code).toBe(2);
-    expect(written.join('')).toMatch(/lockpin --help/);
+    expect(output.join('')).toMatch(/lockpin --help/);
   });
 
-  it('says where no node answers, with the code for that', async () => {
-    const written: string[] = [];
+  it('reports the address of an unreachable node and exits as unavailable', async () => {
+    const output: string[] = [];
     const code = await run(['status', '--node', '127.0.0.1:1'], {
-      out: (text) => written.push(text),
-      err: (text) => written.push(text),
+      out: (text) => output.push(text),
+      err: (text) => output.push(text),
     });
     expect(code).toBe(7);
-    expect(written.join('')).toMatch(/No node answers at 127.0.0.1:1/);
+    expect(output.join('')).toMatch(/No node answers at 127.0.0.1:1/);
   });
 });
--- a/packages/cli/src/__tests__/silentWatch.test.ts
+++ b/packages/cli/src/__tests__/silentWatch.test.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Guards against a watch hanging when its connection goes silent without closing. */
+/** Guards against a watch hanging when its connection stalls but stays open. */
 
 import {createServer} from 'node:http';
 import type {Server, ServerResponse} from 'node:http';
@@ -19,7 +19,7 @@
   server.close();
 });
 
-/** Answers each watch request with the next event list; ends only the last response. */
+/** Answers each watch with the next event list; ends only the last response. */
 async function startNode(
   eventLists: readonly (readonly object[])[],
   paths: string[],
--- a/packages/cli/src/__tests__/timelinePicture.test.ts
+++ b/packages/cli/src/__tests__/timelinePicture.test.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** The time line as a picture. */
+/** Rendering of a timeline as an HTML page. */
 
 import {describe, expect, it} from 'vitest';
 import type {TimelineEvent} from '@lockpin/types';
@@ -10,8 +10,8 @@
   return {time, box, kind, subject: '<b>&', detail: {n: 1}};
 }
 
-describe('timelinePicture', () => {
-  it('draws a lane for each box and a mark for each event', () => {
+describe('renderTimelineHtml', () => {
+  it('renders a lane for each box and a mark for each event', () => {
     const page = timelinePicture([
       event('one', 1000, 'node-ready'),
       event('two', 1500, 'upstream-ejected'),
@@ -22,14 +22,14 @@
     expect(page).toContain('+0.500s two upstream-ejected');
   });
 
-  it('writes nothing of an event as markup, and needs no other file', () => {
+  it('escapes event fields and references no external files', () => {
     const page = timelinePicture([event('one', 1000, '<script>')]);
     expect(page).not.toContain('<script>');
     expect(page).not.toContain('<b>&');
     expect(page).not.toMatch(/src=|href=|url\(/);
   });
 
-  it('draws a time line without events', () => {
+  it('renders a timeline without events', () => {
     expect(timelinePicture([])).toContain('0 events');
   });
 });
--- a/packages/cli/src/apiClient.ts
+++ b/packages/cli/src/apiClient.ts
@@ -1,41 +1,41 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Talks to the operators' API of a node. */
+/** HTTP client for the operator API of a node. */
 
 import {errors, request} from 'undici';
 import type {AnyResource, ApiFailure, Result, Write} from '@lockpin/types';
 import {failure, success} from '@lockpin/utils';
 import {WatchProgress} from './watchProgress.js';
 
-/** Where the API is, and the operator's token. */
+/** The address of the API and the operator's token. */
 export interface ApiAccess {
   /** IP:port of a node's operator address. */
   readonly address: string;
-  /** name.secret */
+  /** In the form name.secret. */
   readonly token: string;
 }
 
-/** What a command is told when a request fails. */
+/** Why a request failed. */
 export type ClientFailure =
   ApiFailure | {readonly kind: 'node-unreachable'; readonly address: string};
 
-/** What an accepted change came to. */
+/** The result of an accepted change. */
 export interface Accepted {
   readonly version: number;
   readonly changeId: string;
 }
 
-/** A list of resources with the version it stands at. */
+/** Resources as of one configuration version. */
 export interface ResourceList {
   readonly version: number;
   readonly items: readonly AnyResource[];
 }
 
-const TIMEOUT_MILLISECONDS = 15_000;
+const REQUEST_TIMEOUT_MILLISECONDS = 15_000;
 
-/** A watch reconnects after missing two bookmarks, which nodes send every 5 s. */
+/** A watch reconnects after two missed bookmarks; nodes send one every 5 s. */
 const WATCH_IDLE_TIMEOUT_MILLISECONDS = 12_000;
 
-/** Requests that the commands share. */
+/** Sends requests to one node. */
 export class ApiClient {
   constructor(
     readonly access: ApiAccess,
@@ -61,7 +61,7 @@
     return this.send('GET', path, undefined);
   }
 
-  /** Asks for something that takes no content. */
+  /** Sends a POST request with an empty JSON object as its body. */
   post<T>(path: string): Promise<Result<T, ClientFailure>> {
     return this.send('POST', path, {});
   }
@@ -73,7 +73,7 @@
     return this.send('POST', '/changes', {changeId, writes});
   }
 
-  /** Lines of a watch, until it ends; reconnects and resumes on an idle timeout. */
+  /** Yields events until the watch ends; resumes after an idle timeout. */
   async *watch(version: number | undefined): AsyncGenerator<unknown> {
     const progress = new WatchProgress(version);
     for (let isOpen = true; isOpen;) {
@@ -92,7 +92,7 @@
     }
   }
 
-  /** Lines of a watch over a single connection. */
+  /** Yields the events of a watch over a single connection. */
   private async *watchOnce(
     version: number | undefined,
   ): AsyncGenerator<unknown> {
@@ -106,10 +106,10 @@
       yield await body.json();
       return;
     }
-    let rest = '';
+    let remainder = '';
     for await (const chunk of body) {
-      const lines = (rest + String(chunk)).split('\n');
-      rest = lines.pop() ?? '';
+      const lines = (remainder + String(chunk)).split('\n');
+      remainder = lines.pop() ?? '';
       yield* lines.map((line) => JSON.parse(line) as unknown);
     }
   }
@@ -124,7 +124,7 @@
         method,
         headers: {...this.headers(), 'content-type': 'application/json'},
         body: content === undefined ? null : JSON.stringify(content),
-        signal: AbortSignal.timeout(TIMEOUT_MILLISECONDS),
+        signal: AbortSignal.timeout(REQUEST_TIMEOUT_MILLISECONDS),
       });
       const answer = await body.json();
       return statusCode < 300
--- a/packages/cli/src/callExplanation.ts
+++ b/packages/cli/src/callExplanation.ts
@@ -1,7 +1,7 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** The story of one request, out of the log lines of all boxes. */
+/** Reconstructs the course of one request from the logs of all boxes. */
 
-/** A line of a node's log, as far as the story needs it. */
+/** A line of a node's log; the declared fields are the ones read here. */
 export interface LogLine {
   readonly time: string;
   readonly event: string;
@@ -10,8 +10,8 @@
   readonly [field: string]: unknown;
 }
 
-/** Events of a box that may explain a request, though they name none. */
-const BELIEFS: ReadonlySet<string> = new Set([
+/** Events without a request identifier that can explain how a call ended. */
+const CONTEXT_EVENTS: ReadonlySet<string> = new Set([
   'node-started',
   'node-stopping',
   'node-stopped',
@@ -32,11 +32,11 @@
   'lines-left-out',
 ]);
 
-/** Beliefs that changed so shortly before or during the request are shown. */
-const BELIEF_MILLISECONDS = 2000;
+/** Context events are shown from this long before a request until its end. */
+const CONTEXT_WINDOW_MILLISECONDS = 2000;
 
-/** Fields that every line has, or that are shown before the others. */
-const SHOWN_FIRST: ReadonlySet<string> = new Set([
+/** Fields left out of the name=value list: constant, or shown elsewhere. */
+const OMITTED_FIELDS: ReadonlySet<string> = new Set([
   'time',
   'event',
   'box',
@@ -45,7 +45,7 @@
   'attempts',
 ]);
 
-/** Reads a line; undefined when it is none of a node's. */
+/** Parses a log line; undefined if it is not a node's log entry. */
 export function readLogLine(text: string): LogLine | undefined {
   const start = text.indexOf('{');
   if (start < 0) {
@@ -65,9 +65,9 @@
 }
 
 /**
- * The lines of a request in the order of their times, with what the boxes that
- * took part came to believe around then. Clocks differ from box to box by
- * milliseconds, so that neighbours may stand the wrong way round.
+ * Returns the lines of a request sorted by time, with the context events of the
+ * boxes involved. Clocks differ between boxes by milliseconds, so adjacent
+ * lines may be out of order.
  */
 export function explainCall(
   lines: readonly LogLine[],
@@ -77,26 +77,29 @@
   if (own.length === 0) {
     return [];
   }
-  const boxes = new Set(own.flatMap((line) => [line.box, ...offered(line)]));
+  const boxes = new Set(
+    own.flatMap((line) => [line.box, ...offeredBoxes(line)]),
+  );
   const times = own.map((line) => Date.parse(line.time));
-  const from = Math.min(...times) - durationOf(own) - BELIEF_MILLISECONDS;
+  const from =
+    Math.min(...times) - durationOf(own) - CONTEXT_WINDOW_MILLISECONDS;
   const to = Math.max(...times);
-  const beliefs = lines.filter((line) => {
+  const contextLines = lines.filter((line) => {
     const time = Date.parse(line.time);
     return (
-      BELIEFS.has(line.event) &&
+      CONTEXT_EVENTS.has(line.event) &&
       boxes.has(line.box) &&
       time >= from &&
       time <= to
     );
   });
-  return [...own, ...beliefs]
+  return [...own, ...contextLines]
     .sort((a, b) => Date.parse(a.time) - Date.parse(b.time))
     .flatMap(describe);
 }
 
-/** The boxes that a call was offered to. */
-function offered(line: LogLine): readonly string[] {
+/** The boxes to which the call was offered. */
+function offeredBoxes(line: LogLine): readonly string[] {
   return attemptsOf(line).map(({box}) => String(box));
 }
 
@@ -111,17 +114,17 @@
 }
 
 function describe(line: LogLine): readonly string[] {
-  const head = `${line.time}  ${line.box}  ${line.event}  ${fields(line)}`;
+  const summaryLine = `${line.time}  ${line.box}  ${line.event}  ${fields(line)}`;
   const attempts = attemptsOf(line).map(
     (attempt, i) =>
       `    offer ${i + 1} to ${String(attempt['box'])}: ${fields(attempt)}`,
   );
-  return [head.trimEnd(), ...attempts];
+  return [summaryLine.trimEnd(), ...attempts];
 }
 
 function fields(values: Readonly<Record<string, unknown>>): string {
   return Object.entries(values)
-    .filter(([name, value]) => !SHOWN_FIRST.has(name) && value !== '')
+    .filter(([name, value]) => !OMITTED_FIELDS.has(name) && value !== '')
     .map(([name, value]) => `${name}=${String(value)}`)
     .join(' ');
 }
--- a/packages/cli/src/commandContext.ts
+++ b/packages/cli/src/commandContext.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** What every command has: the API, output and a way to end. */
+/** The API client, output and error reporting that all commands share. */
 
 import {ApiClient} from './apiClient.js';
 import type {ClientFailure} from './apiClient.js';
@@ -16,13 +16,13 @@
   readonly output: OutputFormat;
 }
 
-/** Writes to the terminal; functions, so that a test can keep what is written. */
+/** Writes to standard output and error; tests pass their own functions. */
 export interface Terminal {
   readonly out: (text: string) => void;
   readonly err: (text: string) => void;
 }
 
-/** Shared by the commands of one run. */
+/** The context in which a command runs. */
 export class CommandContext {
   readonly api: ApiClient;
 
@@ -37,13 +37,13 @@
     return this.options.output;
   }
 
-  /** Shows a value and ends well. */
+  /** Prints a value and returns the exit code of success. */
   show(value: unknown, rows: readonly Row[]): ExitCode {
     this.terminal.out(render(this.options.output, value, rows));
     return EXIT_CODES.success;
   }
 
-  /** Explains a failure and ends with its code. */
+  /** Prints an error message and returns its exit code. */
   fail(failure: ClientFailure): ExitCode {
     const {text, exitCode} = explainFailure(failure);
     this.terminal.err(`${text}\n`);
--- a/packages/cli/src/commands/apply.ts
+++ b/packages/cli/src/commands/apply.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** lockpin apply: makes resources as manifests say. */
+/** lockpin apply: creates or updates resources from manifests. */
 
 import {v7} from 'uuid';
 import type {CommandContext} from '../commandContext.js';
@@ -16,7 +16,7 @@
   readonly wait: boolean;
 }
 
-/** Applies all manifests as one change, whole or not at all. */
+/** Applies all manifests atomically, as one change. */
 export async function apply(
   context: CommandContext,
   options: ApplyOptions,
@@ -30,7 +30,9 @@
     return context.fail(writes.failure);
   }
   if (writes.value.length === 0) {
-    context.terminal.err('nothing differs; nothing was changed\n');
+    context.terminal.err(
+      'all resources match the manifests; nothing was changed\n',
+    );
     return EXIT_CODES.success;
   }
   const accepted = await context.api.change(v7(), writes.value);
--- a/packages/cli/src/commands/call.ts
+++ b/packages/cli/src/commands/call.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** lockpin call: sends one request and shows its outcome and route. */
+/** lockpin call: sends one request and shows its outcome and upstream. */
 
 import {readFile} from 'node:fs/promises';
 import {request} from 'undici';
@@ -10,7 +10,7 @@
 
 /** Options of the command. */
 export interface CallOptions {
-  /** IP:port of a node's caller address. */
+  /** IP:port at which a node accepts calls. */
   readonly entry: string;
   readonly service: string;
   readonly method: string;
@@ -20,7 +20,7 @@
   readonly key: string | undefined;
 }
 
-/** Sends the request; a once-only one gets a key first. */
+/** Sends the request; with --once, obtains a once key first. */
 export async function call(
   context: CommandContext,
   options: CallOptions,
@@ -48,10 +48,10 @@
     headers: {'lockpin-service': service},
   });
   const {keys} = (await body.json()) as {readonly keys?: readonly string[]};
-  const [minted] = keys ?? [];
-  return minted === undefined
+  const [issuedKey] = keys ?? [];
+  return issuedKey === undefined
     ? {}
-    : {'lockpin-once-key': minted, 'lockpin-once-attempt': 'first'};
+    : {'lockpin-once-key': issuedKey, 'lockpin-once-attempt': 'first'};
 }
 
 async function send(
@@ -63,7 +63,7 @@
   const answer = await request(`http://${options.entry}${options.path}`, {
     method: options.method as Dispatcher.HttpMethod,
     headers: {'lockpin-service': options.service, ...headers},
-    body: await bodyOf(options.data),
+    body: await readBody(options.data),
   });
   const body = await answer.body.text();
   const milliseconds = Math.round((performance.now() - startedAt) * 10) / 10;
@@ -82,7 +82,7 @@
   return outcome === 'answered' ? EXIT_CODES.success : EXIT_CODES.failed;
 }
 
-async function bodyOf(data: string | undefined): Promise<string | null> {
+async function readBody(data: string | undefined): Promise<string | null> {
   if (data === undefined) {
     return null;
   }
--- a/packages/cli/src/commands/delete.ts
+++ b/packages/cli/src/commands/delete.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** lockpin delete: removes resources. */
+/** lockpin delete: deletes a resource. */
 
 import {v7} from 'uuid';
 import type {ResourceKind} from '@lockpin/types';
@@ -13,7 +13,7 @@
   readonly name: string;
 }
 
-/** Removes one resource, based on the version that is there now. */
+/** Deletes one resource, based on its current version. */
 export async function deleteResource(
   context: CommandContext,
   options: DeleteOptions,
--- a/packages/cli/src/commands/describe.ts
+++ b/packages/cli/src/commands/describe.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** lockpin describe: one resource with all that belongs to it. */
+/** lockpin describe: shows one resource and its children. */
 
 import type {CommandContext} from '../commandContext.js';
 import type {ExitCode} from '../exitCodes.js';
@@ -13,7 +13,7 @@
   readonly name: string;
 }
 
-/** Shows a resource and its children, in YAML unless asked otherwise. */
+/** Prints a resource and its children; YAML replaces the table format. */
 export async function describe(
   context: CommandContext,
   {kind, name}: DescribeOptions,
--- a/packages/cli/src/commands/drain.ts
+++ b/packages/cli/src/commands/drain.ts
@@ -14,7 +14,7 @@
   readonly undo: boolean;
 }
 
-/** Changes the state of an upstream and waits until it is in force. */
+/** Changes the state of an upstream and waits until the change is in force. */
 export async function drain(
   context: CommandContext,
   {upstream, undo}: DrainOptions,
--- a/packages/cli/src/commands/explain.ts
+++ b/packages/cli/src/commands/explain.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** lockpin explain: what became of one request, from the logs of all boxes. */
+/** lockpin explain: traces one request through the logs of all boxes. */
 
 import {createReadStream} from 'node:fs';
 import {createInterface} from 'node:readline';
@@ -12,11 +12,11 @@
 /** Options of the command. */
 export interface ExplainOptions {
   readonly request: string;
-  /** Files of log lines; standard input when there are none. */
+  /** Log files; standard input if empty. */
   readonly log: readonly string[];
 }
 
-/** Reads the logs and prints the request's story. */
+/** Reads the logs and prints the lines that concern the request. */
 export async function explain(
   {terminal}: CommandContext,
   {request, log}: ExplainOptions,
@@ -34,13 +34,13 @@
       }
     }
   }
-  const story = explainCall(lines, request);
-  if (story.length === 0) {
+  const explanation = explainCall(lines, request);
+  if (explanation.length === 0) {
     terminal.err(
-      `no line names request ${request}; was its box's log among the files?\n`,
+      `no log line found for request ${request}; check that the logs of its boxes are included\n`,
     );
     return EXIT_CODES.notFound;
   }
-  terminal.out(`${story.join('\n')}\n`);
+  terminal.out(`${explanation.join('\n')}\n`);
   return EXIT_CODES.success;
 }
--- a/packages/cli/src/commands/get.ts
+++ b/packages/cli/src/commands/get.ts
@@ -13,20 +13,20 @@
   readonly name: string | undefined;
 }
 
-/** Shows resources of a kind, or how a change ended. */
+/** Shows the resources of a kind, or the outcome of a change. */
 export async function get(
   context: CommandContext,
-  {kind: typed, name}: GetOptions,
+  {kind: kindArgument, name}: GetOptions,
 ): Promise<ExitCode> {
-  if (typed === 'change') {
+  if (kindArgument === 'change') {
     const found = await context.api.get<Row>(`/changes/${name ?? ''}`);
     return found.ok
       ? context.show(found.value, [found.value])
       : context.fail(found.failure);
   }
-  const kind = kindFrom(typed);
+  const kind = kindFrom(kindArgument);
   if (kind === undefined) {
-    const problem = `give one of ${RESOURCE_KINDS.join(', ')} or change`;
+    const problem = `must be one of ${RESOURCE_KINDS.join(', ')} or change`;
     const problems = [{field: 'kind', problem}];
     return context.fail({kind: 'invalid', problems});
   }
@@ -37,11 +37,11 @@
   return context.show(list.value, list.value.items.map(row));
 }
 
-/** The kind an operator means by service, services or Service. */
-export function kindFrom(typed: string): string | undefined {
-  const singular = typed.replace(/s$/, '');
-  const capital = singular.charAt(0).toUpperCase() + singular.slice(1);
-  return isResourceKind(capital) ? capital : undefined;
+/** Resolves a kind from any of the forms service, services and Service. */
+export function kindFrom(kindArgument: string): string | undefined {
+  const singular = kindArgument.replace(/s$/, '');
+  const capitalized = singular.charAt(0).toUpperCase() + singular.slice(1);
+  return isResourceKind(capitalized) ? capitalized : undefined;
 }
 
 function row({kind, name, version, spec}: AnyResource): Row {
--- a/packages/cli/src/commands/quarantine.ts
+++ b/packages/cli/src/commands/quarantine.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** lockpin quarantine: shows the requests that are kept out, and lets one in again. */
+/** lockpin quarantine: lists quarantined requests and lifts a quarantine. */
 
 import type {Result} from '@lockpin/types';
 import type {ClientFailure} from '../apiClient.js';
@@ -7,7 +7,7 @@
 import type {ExitCode} from '../exitCodes.js';
 import type {Row} from '../output.js';
 
-/** What the API lists of a request that is kept out. */
+/** A quarantined request as listed by the API. */
 interface QuarantineResource {
   readonly name: string;
   readonly spec: {
@@ -16,6 +16,7 @@
     readonly boxes: readonly string[];
     /** In milliseconds since 1970. */
     readonly since: number;
+    /** In milliseconds since 1970. */
     readonly until: number;
   };
 }
@@ -24,13 +25,13 @@
   readonly items: readonly QuarantineResource[];
 }
 
-/** Options of lifting. */
+/** Options of lifting a quarantine. */
 export interface LiftOptions {
-  /** As the list has it. */
+  /** The request digest as shown by the list command. */
   readonly digest: string;
 }
 
-/** Shows one row for each request that no upstream is to run. */
+/** Shows one row for each quarantined request. */
 export async function quarantineList(
   context: CommandContext,
 ): Promise<ExitCode> {
@@ -42,7 +43,7 @@
     : context.fail(found.failure);
 }
 
-/** Lets a request run again, on all boxes. */
+/** Lifts the quarantine of a request on all boxes. */
 export async function quarantineLift(
   context: CommandContext,
   {digest}: LiftOptions,
--- a/packages/cli/src/commands/status.ts
+++ b/packages/cli/src/commands/status.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** lockpin status: every node and upstream, and why it stands as it does. */
+/** lockpin status: shows every node and upstream, with reasons for states. */
 
 import type {CommandContext} from '../commandContext.js';
 import type {ExitCode} from '../exitCodes.js';
@@ -29,24 +29,24 @@
     upstream,
     state,
     running: `${occupied}/${limit}`,
-    why: why(state, denial),
+    why: stateReason(state, denial),
   }));
 }
 
-const WHY: Readonly<Record<string, string>> = {
+const STATE_REASONS: Readonly<Record<string, string>> = {
   ejected: 'fails or is slow compared with its peers',
   probation: 'a few real calls are finding out whether it is well again',
   draining: 'an operator drains it',
 };
 
-const WHY_KEPT: Readonly<Record<string, string>> = {
+const DENIAL_REASONS: Readonly<Record<string, string>> = {
   floor: 'sick, but the floor needs it: the least sick stays',
   'shared-cause': 'sick together with its peers: load or a shared cause',
   settling: 'sick; waiting whether its peers worsen too',
 };
 
-function why(state: string, denial: string): string {
+function stateReason(state: string, denial: string): string {
   return state === 'condemned'
-    ? (WHY_KEPT[denial] ?? 'sick; no permit to eject it yet')
-    : (WHY[state] ?? '');
+    ? (DENIAL_REASONS[denial] ?? 'sick; no permit to eject it yet')
+    : (STATE_REASONS[state] ?? '');
 }
--- a/packages/cli/src/commands/timeline.ts
+++ b/packages/cli/src/commands/timeline.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** lockpin timeline: events of all nodes in causal order. */
+/** lockpin timeline: shows the events of all nodes in causal order. */
 
 import {writeFile} from 'node:fs/promises';
 import type {TimelineEvent} from '@lockpin/types';
@@ -10,19 +10,19 @@
 import {everyNode} from '../nodeStatuses.js';
 import {timelinePicture} from '../timelinePicture.js';
 
-/** Forms a time line is written in. */
+/** Values of the --format option. */
 export const TIMELINE_FORMATS = ['text', 'jsonl', 'html'] as const;
 
 /** Options of the command. */
 export interface TimelineOptions {
   readonly format: (typeof TIMELINE_FORMATS)[number];
-  /** Only events of this many last seconds. */
+  /** Maximum age of the events, in seconds. */
   readonly seconds: number;
   /** Write to this file instead of the terminal. */
   readonly file: string | undefined;
 }
 
-/** Gathers, merges and writes the events. */
+/** Fetches, merges and prints the events. */
 export async function timeline(
   context: CommandContext,
   {format, seconds, file}: TimelineOptions,
@@ -41,8 +41,8 @@
   );
   const events = answers
     .flatMap((answer) => (answer.ok ? answer.value.events : []))
-    .sort((a, b) => compareHybridTimes(a.time, b.time) || byBox(a, b));
-  const text = write(format, events);
+    .sort((a, b) => compareHybridTimes(a.time, b.time) || compareBoxes(a, b));
+  const text = formatEvents(format, events);
   if (file === undefined) {
     context.terminal.out(text);
   } else {
@@ -51,11 +51,11 @@
   return EXIT_CODES.success;
 }
 
-function byBox(a: TimelineEvent, b: TimelineEvent): number {
+function compareBoxes(a: TimelineEvent, b: TimelineEvent): number {
   return a.box < b.box ? -1 : 1;
 }
 
-function write(
+function formatEvents(
   format: TimelineOptions['format'],
   events: readonly TimelineEvent[],
 ): string {
@@ -69,7 +69,7 @@
   }
 }
 
-/** One event as a line of text. */
+/** Formats one event as a line of text. */
 export function textLine({
   time,
   box,
--- a/packages/cli/src/commands/validate.ts
+++ b/packages/cli/src/commands/validate.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** lockpin validate: checks manifests without talking to a node. */
+/** lockpin validate: validates manifests without contacting a node. */
 
 import type {CommandContext} from '../commandContext.js';
 import type {ExitCode} from '../exitCodes.js';
@@ -10,7 +10,7 @@
   readonly file: readonly string[];
 }
 
-/** Checks names, fields and limits of every manifest. */
+/** Validates the names, fields and limits of every manifest. */
 export async function validate(
   context: CommandContext,
   {file}: ValidateOptions,
--- a/packages/cli/src/commands/watch.ts
+++ b/packages/cli/src/commands/watch.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** lockpin watch: every change as it takes effect. */
+/** lockpin watch: prints every change as it takes effect. */
 
 import type {CommandContext} from '../commandContext.js';
 import {EXIT_CODES} from '../exitCodes.js';
@@ -7,11 +7,11 @@
 
 /** Options of the command. */
 export interface WatchOptions {
-  /** Resume after this version; from now on when left out. */
+  /** Resume after this version; defaults to the current version. */
   readonly version: number | undefined;
 }
 
-/** Prints one JSON object a line until the watch ends. */
+/** Prints one JSON object per line until the watch ends. */
 export async function watch(
   context: CommandContext,
   {version}: WatchOptions,
--- a/packages/cli/src/exitCodes.ts
+++ b/packages/cli/src/exitCodes.ts
@@ -1,7 +1,7 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
 /** Exit codes of the lockpin command line; see docs/reference/exitCodes.md. */
 
-/** What the process exits with. */
+/** The exit code for each outcome of a command. */
 export const EXIT_CODES = {
   success: 0,
   failed: 1,
@@ -14,5 +14,5 @@
   unknown: 8,
 } as const;
 
-/** One of the codes. */
+/** One of the exit codes. */
 export type ExitCode = (typeof EXIT_CODES)[keyof typeof EXIT_CODES];
--- a/packages/cli/src/main.ts
+++ b/packages/cli/src/main.ts
@@ -1,6 +1,6 @@
 #!/usr/bin/env node
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** The lockpin binary. */
+/** Entry point of the lockpin command line. */
 
 import {run} from './run.js';
 
--- a/packages/cli/src/manifests.ts
+++ b/packages/cli/src/manifests.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Manifests in YAML or JSON, one or many in a file. */
+/** Reads and validates resource manifests in YAML or JSON. */
 
 import {readFile} from 'node:fs/promises';
 import {checkName, checkSpec, isResourceKind} from '@lockpin/configuration';
@@ -7,35 +7,35 @@
 import {failure, success} from '@lockpin/utils';
 import {parseAllDocuments} from 'yaml';
 
-/** A resource as an operator writes it down. */
+/** A resource as declared in a manifest file. */
 export interface Manifest {
   readonly kind: ResourceKind;
   readonly name: string;
-  /** Version it is based on; the present one when left out. */
+  /** The version the change is based on; defaults to the current version. */
   readonly version: number | undefined;
   readonly spec: unknown;
 }
 
-const FIELDS: ReadonlySet<string> = new Set([
+const MANIFEST_FIELDS: ReadonlySet<string> = new Set([
   'kind',
   'name',
   'version',
   'spec',
 ]);
 
-/** Reads and checks files; each problem names its file and field. */
+/** Reads and validates files; each problem names its file and field. */
 export async function readManifests(
   files: readonly string[],
 ): Promise<Result<readonly Manifest[], readonly FieldProblem[]>> {
   const manifests: Manifest[] = [];
   const problems: FieldProblem[] = [];
   for (const file of files) {
-    const read = await readText(file);
-    if (!read.ok) {
-      problems.push({field: file, problem: `cannot be read: ${read.failure}`});
+    const text = await readText(file);
+    if (!text.ok) {
+      problems.push({field: file, problem: `cannot be read: ${text.failure}`});
       continue;
     }
-    const parsed = parseManifests(read.value);
+    const parsed = parseManifests(text.value);
     if (parsed.ok) {
       manifests.push(...parsed.value);
     } else {
@@ -50,7 +50,7 @@
   return problems.length > 0 ? failure(problems) : success(manifests);
 }
 
-/** The text of a file, or the code of the error that says why there is none. */
+/** Reads a file; fails with the error code, such as ENOENT. */
 async function readText(file: string): Promise<Result<string, string>> {
   try {
     return success(await readFile(file, 'utf8'));
@@ -60,7 +60,7 @@
   }
 }
 
-/** Parses the documents of one file. */
+/** Parses and validates the documents of one file. */
 export function parseManifests(
   text: string,
 ): Result<readonly Manifest[], readonly FieldProblem[]> {
@@ -89,19 +89,26 @@
   value: unknown,
 ): Result<Manifest, readonly FieldProblem[]> {
   if (typeof value !== 'object' || value === null) {
-    return failure([{field: 'document', problem: 'give kind, name and spec'}]);
+    return failure([
+      {
+        field: 'document',
+        problem: 'must be an object with kind, name and spec',
+      },
+    ]);
   }
   const {kind, name, version, spec} = value as Record<string, unknown>;
   if (typeof kind !== 'string' || !isResourceKind(kind)) {
-    return failure([{field: 'kind', problem: 'no such kind of resource'}]);
+    return failure([{field: 'kind', problem: 'unknown resource kind'}]);
   }
   if (typeof name !== 'string') {
-    return failure([{field: `${kind}.name`, problem: 'give a name'}]);
+    return failure([{field: `${kind}.name`, problem: 'must be a string'}]);
   }
-  const unknownFields = Object.keys(value).filter((key) => !FIELDS.has(key));
+  const unknownFields = Object.keys(value).filter(
+    (key) => !MANIFEST_FIELDS.has(key),
+  );
   const checked = checkSpec(kind, spec ?? {});
   const problems = [
-    ...unknownFields.map((field) => ({field, problem: 'no such field'})),
+    ...unknownFields.map((field) => ({field, problem: 'unknown field'})),
     ...checkName(kind, name),
     ...(checked.ok ? [] : checked.failure),
   ];
--- a/packages/cli/src/nodeStatuses.ts
+++ b/packages/cli/src/nodeStatuses.ts
@@ -1,12 +1,12 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Asks every node that the first one knows. */
+/** Queries all nodes that are known to the addressed node. */
 
 import type {Result} from '@lockpin/types';
 import {success} from '@lockpin/utils';
 import {ApiClient} from './apiClient.js';
 import type {ClientFailure} from './apiClient.js';
 
-/** What a node says of a member. */
+/** The status of a member as reported by a node. */
 export interface MemberStatus {
   readonly box: string;
   readonly dataCentre: string;
@@ -15,15 +15,15 @@
   readonly versionInForce: number;
 }
 
-/** What a node says of itself. */
+/** The status of a node as reported by itself. */
 export interface NodeStatus {
   readonly box: string;
   readonly dataCentre: string;
   readonly version: number;
   readonly digest: string;
-  /** How often the log was restored, as far as the state in force goes. */
+  /** The log era of the state in force; rises with each restore of the log. */
   readonly logEra: number;
-  /** The log was restored and is folded anew; changes that are offered wait. */
+  /** Whether a restored log is being replayed; submitted changes wait. */
   readonly isFoldingAnew: boolean;
   readonly isLeaving: boolean;
   readonly callsAtEntry: number;
@@ -38,7 +38,7 @@
   readonly members: readonly MemberStatus[];
 }
 
-/** Clients for every node that can be asked, the first one included. */
+/** Creates clients for all members that are not dead and have an address. */
 export async function everyNode(
   api: ApiClient,
 ): Promise<Result<readonly ApiClient[], ClientFailure>> {
@@ -55,7 +55,7 @@
   return success(clients.length > 0 ? clients : [api]);
 }
 
-/** The statuses of all nodes that answer. */
+/** Fetches the statuses of all nodes that answer. */
 export async function everyStatus(
   api: ApiClient,
 ): Promise<Result<readonly NodeStatus[], ClientFailure>> {
--- a/packages/cli/src/output.ts
+++ b/packages/cli/src/output.ts
@@ -1,18 +1,18 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Output as a table, JSON or YAML. */
+/** Formats output as a table, JSON or YAML. */
 
 import {stringify} from 'yaml';
 
-/** Formats that --output takes. */
+/** Values of the --output option. */
 export const OUTPUT_FORMATS = ['table', 'json', 'yaml'] as const;
 
-/** One of the formats. */
+/** One of the output formats. */
 export type OutputFormat = (typeof OUTPUT_FORMATS)[number];
 
-/** A row of a table. */
+/** A table row; keys are column names. */
 export type Row = Readonly<Record<string, string | number | boolean>>;
 
-/** Writes a value in the format asked for; a table shows the rows. */
+/** Renders the value as JSON or YAML, or the rows as a table. */
 export function render(
   format: OutputFormat,
   value: unknown,
@@ -28,7 +28,7 @@
   }
 }
 
-/** Aligns rows under the names of their columns. */
+/** Renders aligned rows under column headers. */
 export function renderTable(rows: readonly Row[]): string {
   const [first] = rows;
   if (first === undefined) {
--- a/packages/cli/src/run.ts
+++ b/packages/cli/src/run.ts
@@ -21,13 +21,13 @@
 import type {ExitCode} from './exitCodes.js';
 import {OUTPUT_FORMATS} from './output.js';
 
-/** Runs the command that the arguments name; resolves to its exit code. */
+/** Runs the command given by the arguments; resolves to its exit code. */
 export async function run(
   args: readonly string[],
   terminal: Terminal,
 ): Promise<ExitCode> {
   let exitCode: ExitCode = EXIT_CODES.success;
-  const within =
+  const runWithContext =
     <T>(command: (context: CommandContext, options: T) => Promise<ExitCode>) =>
     async (options: CommonOptions & T): Promise<void> => {
       exitCode = await command(new CommandContext(options, terminal), options);
@@ -37,21 +37,31 @@
       'apply',
       'Make resources as manifests say',
       fileOption,
-      within(apply),
+      runWithContext(apply),
+    )
+    .command(
+      'validate',
+      'Check manifests',
+      fileOption,
+      runWithContext(validate),
+    )
+    .command(
+      'get <kind> [name]',
+      'List resources',
+      resourceOptions,
+      runWithContext(get),
     )
-    .command('validate', 'Check manifests', fileOption, within(validate))
-    .command('get <kind> [name]', 'List resources', resourceName, within(get))
     .command(
       'describe <kind> <name>',
       'Show a resource and what belongs to it',
-      resourceName,
-      within(describe),
+      resourceOptions,
+      runWithContext(describe),
     )
     .command(
       'delete <kind> <name>',
       'Remove a resource',
-      resourceName,
-      within(deleteResource),
+      resourceOptions,
+      runWithContext(deleteResource),
     )
     .command(
       'watch',
@@ -61,7 +71,7 @@
           type: 'number',
           describe: 'Resume after this version',
         }),
-      within(watch),
+      runWithContext(watch),
     )
     .command(
       'drain <upstream>',
@@ -70,13 +80,13 @@
         argv
           .positional('upstream', {type: 'string', demandOption: true})
           .option('undo', {type: 'boolean', default: false}),
-      within(drain),
+      runWithContext(drain),
     )
     .command(
       'status',
       'Show every upstream and why it stands so',
       (argv) => argv,
-      within(status),
+      runWithContext(status),
     )
     .command(
       'quarantine',
@@ -87,37 +97,37 @@
             'list',
             'Show those that are kept out',
             (list) => list,
-            within(quarantineList),
+            runWithContext(quarantineList),
           )
           .command(
             'lift <digest>',
             'Let one run again, on all boxes',
             (lift) =>
               lift.positional('digest', {type: 'string', demandOption: true}),
-            within(quarantineLift),
+            runWithContext(quarantineLift),
           )
-          .demandCommand(1, 'Give list or lift.'),
+          .demandCommand(1, 'Specify list or lift.'),
     )
     .command(
       'timeline',
       'Show events of all nodes',
       timelineOptions,
-      within(timeline),
+      runWithContext(timeline),
     )
     .command(
       'call <service> <path>',
       'Send one request',
       callOptions,
-      within(call),
+      runWithContext(call),
     )
     .command(
       'explain <request>',
       "Tell a request's story from the logs of all boxes",
       explainOptions,
-      within(explain),
+      runWithContext(explain),
     )
     .completion('completion', 'Print a completion script for the shell')
-    .demandCommand(1, 'Give a command.')
+    .demandCommand(1, 'Specify a command.')
     .version(false)
     .strict()
     .exitProcess(false)
@@ -179,7 +189,7 @@
     }) as never;
 }
 
-function resourceName(
+function resourceOptions(
   argv: Argv<CommonOptions>,
 ): Argv<CommonOptions & {readonly kind: string; readonly name: string}> {
   return argv
--- a/packages/cli/src/timelinePicture.ts
+++ b/packages/cli/src/timelinePicture.ts
@@ -1,12 +1,12 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** A time line as a page that needs nothing else: SVG in HTML. */
+/** Renders a timeline as a self-contained HTML page with inline SVG. */
 
 import type {TimelineEvent} from '@lockpin/types';
 
-const LANE_HEIGHT = 28;
-const LEFT = 140;
+const LANE_HEIGHT_PIXELS = 28;
+const LEFT_MARGIN = 140;
 const WIDTH = 1200;
-const TOP = 40;
+const TOP_MARGIN = 40;
 
 const COLOURS: readonly (readonly [RegExp, string])[] = [
   [/ejected|condemned|dead|differs|corrupt|lost/, '#c0392b'],
@@ -14,25 +14,26 @@
   [/returned|ready|alive|accepted|acquitted/, '#1e8449'],
 ];
 
-/** Draws one lane for each box, with a mark for each event. */
+/** Renders one lane for each box, with a mark for each event. */
 export function timelinePicture(events: readonly TimelineEvent[]): string {
   const boxes = [...new Set(events.map(({box}) => box))].sort();
   const times = events.map(({time}) => time.milliseconds);
   const start = times.length === 0 ? 0 : Math.min(...times);
   const end = Math.max(...times, start + 1);
   const x = (time: number): number =>
-    LEFT + ((time - start) / (end - start)) * (WIDTH - LEFT - 20);
-  const y = (box: string): number => TOP + boxes.indexOf(box) * LANE_HEIGHT;
+    LEFT_MARGIN + ((time - start) / (end - start)) * (WIDTH - LEFT_MARGIN - 20);
+  const y = (box: string): number =>
+    TOP_MARGIN + boxes.indexOf(box) * LANE_HEIGHT_PIXELS;
   const lanes = boxes.map(
     (box) =>
       `<text x="8" y="${y(box) + 4}">${escapeText(box)}</text>` +
-      `<line x1="${LEFT}" x2="${WIDTH - 20}" y1="${y(box)}" y2="${y(box)}" stroke="#ddd"/>`,
+      `<line x1="${LEFT_MARGIN}" x2="${WIDTH - 20}" y1="${y(box)}" y2="${y(box)}" stroke="#ddd"/>`,
   );
   const marks = events.map(
     (event) =>
       `<circle cx="${x(event.time.milliseconds).toFixed(1)}" cy="${y(event.box)}" r="4" fill="${colour(event.kind)}"><title>${escapeText(title(event, start))}</title></circle>`,
   );
-  const height = TOP + boxes.length * LANE_HEIGHT;
+  const height = TOP_MARGIN + boxes.length * LANE_HEIGHT_PIXELS;
   const rows = events.map(
     (event) => `<tr><td>${escapeText(title(event, start))}</td></tr>`,
   );
--- a/packages/cli/src/waitUntilInForce.ts
+++ b/packages/cli/src/waitUntilInForce.ts
@@ -9,7 +9,7 @@
   readonly isEverywhere?: boolean;
 }
 
-/** Resolves once the watch says that the version is in force everywhere. */
+/** Resolves once the watch reports the version as in force everywhere. */
 export async function waitUntilInForce(
   api: ApiClient,
   version: number,
--- a/packages/cli/src/watchProgress.ts
+++ b/packages/cli/src/watchProgress.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Tracks the position of a watch so that it can resume without missing events. */
+/** Tracks the position of a watch so that it resumes without missing events. */
 
 interface WatchEvent {
   readonly type?: string;
@@ -9,7 +9,7 @@
 
 /** Position of one watch, kept across reconnects. */
 export class WatchProgress {
-  /** Versions of reported changes that are not yet known to be in force everywhere. */
+  /** Versions of reported changes not yet known to be in force everywhere. */
   private readonly pending = new Set<number>();
   private lastChangeVersion = Number.NEGATIVE_INFINITY;
 
--- a/packages/cli/src/writes.ts
+++ b/packages/cli/src/writes.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Writes from manifests, based on what is there now. */
+/** Computes the writes that bring resources to the state in manifests. */
 
 import type {ResourceKind, Result, Write} from '@lockpin/types';
 import {canonicalJson, failure, success} from '@lockpin/utils';
@@ -7,7 +7,7 @@
 import type {ApiClient, ClientFailure} from './apiClient.js';
 import type {Manifest} from './manifests.js';
 
-/** Writes for the manifests that differ from what is there. */
+/** Returns a write for each manifest that differs from the current resource. */
 export async function writesFor(
   api: ApiClient,
   manifests: readonly Manifest[],
@@ -18,9 +18,9 @@
     if (!current.ok && current.failure.kind !== 'not-found') {
       return failure(current.failure);
     }
-    const present = current.ok ? current.value : undefined;
-    const basedOn = version ?? present?.version ?? 0;
-    if (!isSame(kind, present?.spec, spec)) {
+    const existing = current.ok ? current.value : undefined;
+    const basedOn = version ?? existing?.version ?? 0;
+    if (!isSame(kind, existing?.spec, spec)) {
       writes.push({operation: 'put', kind, name, basedOn, spec});
     }
   }
@@ -29,13 +29,13 @@
 
 function isSame(
   kind: ResourceKind,
-  present: unknown,
-  wanted: unknown,
+  existing: unknown,
+  desired: unknown,
 ): boolean {
-  const checked = checkSpec(kind, wanted);
+  const checked = checkSpec(kind, desired);
   return (
-    present !== undefined &&
+    existing !== undefined &&
     checked.ok &&
-    canonicalJson(present) === canonicalJson(checked.value)
+    canonicalJson(existing) === canonicalJson(checked.value)
   );
 }
--- a/packages/stand-ins/src/boxList.ts
+++ b/packages/stand-ins/src/boxList.ts
@@ -5,7 +5,7 @@
 import {App} from '@tinyhttp/app';
 import {listen, sendJson} from './http.js';
 
-/** A box as the platform lists it. */
+/** A box as listed by the platform. */
 export interface ListedBox {
   readonly box: string;
   readonly dataCentre: string;
@@ -14,14 +14,14 @@
   readonly peerAddress: string;
 }
 
-/** Serves the list as it was some time ago. */
+/** Serves the box list over HTTP with a configurable lag. */
 export class BoxList {
-  /** How far the list lags, in milliseconds. */
+  /** The delay before a change appears in the list, in milliseconds. */
   lagMilliseconds = 0;
   private readonly boxes = new Map<string, ListedBox>();
   private server: Server | undefined;
 
-  /** Starts listening; returns the address. */
+  /** Starts the server; resolves to its address. */
   async start(host: string, port = 0): Promise<string> {
     const app = new App({
       noMatchHandler: (_, response) => void response.writeHead(404).end(),
@@ -34,12 +34,12 @@
     return address;
   }
 
-  /** Lists a box, after the lag. */
+  /** Adds or replaces a box after the lag. */
   set(box: ListedBox): void {
     this.afterLag(() => this.boxes.set(box.box, box));
   }
 
-  /** Drops a box, after the lag. */
+  /** Removes a box after the lag. */
   remove(box: string): void {
     this.afterLag(() => this.boxes.delete(box));
   }
--- a/packages/stand-ins/src/http.ts
+++ b/packages/stand-ins/src/http.ts
@@ -1,12 +1,12 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** HTTP helpers that the stand-ins share. */
+/** HTTP helpers shared by the stand-ins. */
 
 import {createServer} from 'node:http';
 import type {IncomingMessage, Server, ServerResponse} from 'node:http';
 import type {AddressInfo} from 'node:net';
 import type {App} from '@tinyhttp/app';
 
-/** Listens with an app; port 0 takes a free one. */
+/** Starts a server for an app; port 0 selects a free port. */
 export async function listen(
   app: App,
   host: string,
@@ -19,11 +19,11 @@
     server.once('error', reject);
     server.listen(port, host, resolve);
   });
-  const {port: taken} = server.address() as AddressInfo;
-  return {server, address: `${host}:${taken}`};
+  const {port: boundPort} = server.address() as AddressInfo;
+  return {server, address: `${host}:${boundPort}`};
 }
 
-/** Reads a whole body. */
+/** Reads the whole request body. */
 export async function readBody(request: IncomingMessage): Promise<Buffer> {
   const chunks: Buffer[] = [];
   for await (const chunk of request) {
@@ -32,7 +32,7 @@
   return Buffer.concat(chunks);
 }
 
-/** Answers with JSON. */
+/** Sends a JSON response. */
 export function sendJson(
   response: ServerResponse,
   status: number,
--- a/packages/stand-ins/src/logService.ts
+++ b/packages/stand-ins/src/logService.ts
@@ -5,21 +5,21 @@
 import {App} from '@tinyhttp/app';
 import {listen, readBody, sendJson} from './http.js';
 
-/** How the stand-in log behaves; each switch can be turned while it runs. */
+/** The behaviour of the stand-in log; can be changed while it runs. */
 export interface LogSwitches {
-  /** Answers nothing at all. */
+  /** Closes every connection without answering. */
   readonly away: boolean;
-  /** Milliseconds that every answer is held back. */
+  /** The delay of every answer, in milliseconds. */
   readonly slowMilliseconds: number;
-  /** Appends take effect but their answer is cut off. */
+  /** Appends take effect, but their connection is closed without an answer. */
   readonly loseConfirmations: boolean;
-  /** Records of a stream that are kept. */
+  /** The number of records retained in each stream. */
   readonly retainedRecords: number;
-  /** Appends a second, over all streams, above which it answers 429. */
+  /** Appends per second over all streams above which it answers 429. */
   readonly appendsPerSecond: number;
 }
 
-/** The log as a healthy platform has it. */
+/** The behaviour of the log on a healthy platform. */
 export const DEFAULT_LOG_SWITCHES: LogSwitches = {
   away: false,
   slowMilliseconds: 0,
@@ -28,30 +28,30 @@
   appendsPerSecond: 300,
 };
 
-const LARGEST_WAIT_MILLISECONDS = 30_000;
-const LARGEST_READ = 1000;
+const MAXIMUM_WAIT_MILLISECONDS = 30_000;
+const MAXIMUM_READ_RECORDS = 1000;
 
 interface Stream {
   first: number;
   readonly records: unknown[];
-  /** When each of them came, in milliseconds since 1970. */
+  /** When each record was appended, in milliseconds since 1970. */
   readonly times: number[];
   readonly waiting: Set<() => void>;
 }
 
-/** An append-only log over HTTP, kept in memory. */
+/** An in-memory append-only log served over HTTP. */
 export class LogService {
   switches: LogSwitches = DEFAULT_LOG_SWITCHES;
-  /** Appends and reads served, for measurements. */
+  /** Appends and reads served, and appends refused with 429. */
   readonly counts = {appends: 0, reads: 0, refused: 0};
   private readonly streams = new Map<string, Stream>();
   private server: Server | undefined;
-  /** Told with each answer; rises with each restore. */
+  /** Sent with each answer; incremented by each restore. */
   private era = 1;
   private appendSecond = 0;
   private appendsThisSecond = 0;
 
-  /** Starts listening; returns the address. */
+  /** Starts the server; resolves to its address. */
   async start(host: string, port = 0): Promise<string> {
     const app = new App({
       noMatchHandler: (_, response) => void response.writeHead(404).end(),
@@ -72,9 +72,9 @@
     return address;
   }
 
-  /** Changes some of the switches. */
-  turn(switches: Partial<LogSwitches>): void {
-    this.switches = {...this.switches, ...switches};
+  /** Changes parts of the behaviour. */
+  turn(changes: Partial<LogSwitches>): void {
+    this.switches = {...this.switches, ...changes};
     if (this.switches.away) {
       this.server?.closeAllConnections();
     }
@@ -83,7 +83,10 @@
     }
   }
 
-  /** Comes back as it was some time ago, in a new era; reads that wait go on waiting. */
+  /**
+   * Discards the records of the last milliseconds and starts a new era, as a
+   * restore from a backup does. Waiting reads keep waiting.
+   */
   restore(lostMilliseconds: number): void {
     const until = Date.now() - lostMilliseconds;
     for (const {records, times} of this.streams.values()) {
@@ -94,19 +97,19 @@
     this.era += 1;
   }
 
-  /** Records of a stream that are still kept, for tests. */
+  /** The retained records of a stream, for tests. */
   records(name: string): readonly unknown[] {
     return this.stream(name).records;
   }
 
-  /** Appends without HTTP, for seeding and tests. */
+  /** Appends a record without HTTP, for seeding and tests. */
   appendDirectly(name: string, value: unknown): number {
     const stream = this.stream(name);
     stream.records.push(value);
     stream.times.push(Date.now());
     const offset = stream.first + stream.records.length - 1;
     this.trim(stream);
-    stream.waiting.forEach((wake) => wake());
+    stream.waiting.forEach((resume) => resume());
     return offset;
   }
 
@@ -116,18 +119,18 @@
   }
 
   private stream(name: string): Stream {
-    const found = this.streams.get(name);
-    if (found !== undefined) {
-      return found;
+    const existing = this.streams.get(name);
+    if (existing !== undefined) {
+      return existing;
     }
-    const made: Stream = {
+    const created: Stream = {
       first: 0,
       records: [],
       times: [],
       waiting: new Set(),
     };
-    this.streams.set(name, made);
-    return made;
+    this.streams.set(name, created);
+    return created;
   }
 
   private trim(stream: Stream): void {
@@ -144,10 +147,10 @@
     body: Buffer,
     response: Parameters<typeof sendJson>[0],
   ): Promise<void> {
-    if (await this.unavailable(response)) {
+    if (await this.closeIfUnavailable(response)) {
       return;
     }
-    if (this.overAppendRate()) {
+    if (this.exceedsAppendRate()) {
       this.counts.refused += 1;
       sendJson(response, 429, {retryAfterMilliseconds: 200});
       return;
@@ -161,7 +164,7 @@
     sendJson(response, 201, {era: this.era, offset});
   }
 
-  private overAppendRate(): boolean {
+  private exceedsAppendRate(): boolean {
     const second = Math.floor(Date.now() / 1000);
     if (second !== this.appendSecond) {
       this.appendSecond = second;
@@ -176,20 +179,20 @@
     query: URLSearchParams,
     response: Parameters<typeof sendJson>[0],
   ): Promise<void> {
-    if (await this.unavailable(response)) {
+    if (await this.closeIfUnavailable(response)) {
       return;
     }
     this.counts.reads += 1;
     const from = Number(query.get('from') ?? 0);
     const wait = Math.min(
       Number(query.get('wait') ?? 0),
-      LARGEST_WAIT_MILLISECONDS,
+      MAXIMUM_WAIT_MILLISECONDS,
     );
     const stream = this.stream(name);
     if (from >= stream.first + stream.records.length && wait > 0) {
       await this.waitForRecord(stream, wait, response);
     }
-    if (await this.unavailable(response)) {
+    if (await this.closeIfUnavailable(response)) {
       return;
     }
     const {era} = this;
@@ -200,8 +203,8 @@
       return;
     }
     const limit = Math.min(
-      Number(query.get('limit') ?? LARGEST_READ),
-      LARGEST_READ,
+      Number(query.get('limit') ?? MAXIMUM_READ_RECORDS),
+      MAXIMUM_READ_RECORDS,
     );
     const start = from - first;
     const records = stream.records
@@ -227,7 +230,7 @@
     });
   }
 
-  private async unavailable(
+  private async closeIfUnavailable(
     response: Parameters<typeof sendJson>[0],
   ): Promise<boolean> {
     if (this.switches.slowMilliseconds > 0) {
--- a/packages/stand-ins/src/upstream.ts
+++ b/packages/stand-ins/src/upstream.ts
@@ -1,26 +1,26 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** A stand-in for an upstream, with slots and the ways it can go gray. */
+/** A stand-in for an upstream, with slots and configurable gray failures. */
 
 import type {IncomingMessage, Server, ServerResponse} from 'node:http';
 import {App} from '@tinyhttp/app';
 import type {RandomSource} from '@lockpin/types';
 import {listen, readBody, sendJson} from './http.js';
 
-/** How the stand-in upstream behaves; can be turned while it runs. */
+/** The behaviour of the stand-in upstream; can be changed while it runs. */
 export interface UpstreamSwitches {
-  /** Share of real calls that fail with 500 while health stays fine. */
+  /** Share of calls that fail with 500 while health checks still succeed. */
   readonly errorShare: number;
-  /** Factor on the time a call takes. */
+  /** Factor by which the work of a call takes longer. */
   readonly slowness: number;
-  /** Share of answers cut off in the middle of the body. */
+  /** Share of answers truncated in the middle of the body. */
   readonly truncateShare: number;
-  /** Runs the call and never answers it: the way back is cut. */
+  /** Whether calls run but are never answered, as if the reply were lost. */
   readonly answersCut: boolean;
-  /** Milliseconds of work that a call takes. */
+  /** The mean work of a call, in milliseconds. */
   readonly workMilliseconds: number;
 }
 
-/** An upstream in good health. */
+/** The behaviour of a healthy upstream. */
 export const HEALTHY_UPSTREAM: UpstreamSwitches = {
   errorShare: 0,
   slowness: 1,
@@ -29,7 +29,7 @@
   workMilliseconds: 10,
 };
 
-/** One run of a call, as the upstream itself saw it. */
+/** One execution of a call, as recorded by the upstream. */
 export interface Execution {
   readonly requestId: string;
   readonly path: string;
@@ -37,25 +37,25 @@
   readonly at: number;
 }
 
-/** What the stand-in needs to know of itself. */
+/** Options of the stand-in upstream. */
 export interface StandInUpstreamOptions {
   readonly name: string;
   readonly slots: number;
   readonly random: RandomSource;
 }
 
-/** An HTTP upstream that records each call it runs. */
+/** An HTTP upstream that records each call it executes. */
 export class StandInUpstream {
   switches: UpstreamSwitches = HEALTHY_UPSTREAM;
   readonly executions: Execution[] = [];
-  /** The most calls that ran at the same time. */
+  /** The highest number of calls that ran at the same time. */
   mostRunning = 0;
   private running = 0;
   private server: Server | undefined;
 
   constructor(private readonly options: StandInUpstreamOptions) {}
 
-  /** Starts listening; returns the address. */
+  /** Starts the server; resolves to its address. */
   async start(host: string, port = 0): Promise<string> {
     const app = new App({
       noMatchHandler: (request, response) => {
@@ -74,9 +74,9 @@
     return address;
   }
 
-  /** Changes some of the switches. */
-  turn(switches: Partial<UpstreamSwitches>): void {
-    this.switches = {...this.switches, ...switches};
+  /** Changes parts of the behaviour. */
+  turn(changes: Partial<UpstreamSwitches>): void {
+    this.switches = {...this.switches, ...changes};
   }
 
   stop(): void {
@@ -89,7 +89,7 @@
     response: ServerResponse,
   ): Promise<void> {
     const body = await readBody(request).catch(() => undefined);
-    if (body === undefined || deadlinePassed(request)) {
+    if (body === undefined || isPastDeadline(request)) {
       response.destroy();
       return;
     }
@@ -105,8 +105,8 @@
     });
     await this.work();
     this.running -= 1;
-    const took = performance.now() - startedAt;
-    this.answer(response, requestId, request.url ?? '', body, took);
+    const tookMilliseconds = performance.now() - startedAt;
+    this.answer(response, requestId, request.url ?? '', body, tookMilliseconds);
   }
 
   private async work(): Promise<void> {
@@ -139,9 +139,13 @@
       received: body.length,
       tookMilliseconds,
     };
-    const large = answerBytes(path);
-    if (large > 0) {
-      sendLarge(response, large, this.options.random() < truncateShare);
+    const sizeBytes = requestedAnswerBytes(path);
+    if (sizeBytes > 0) {
+      sendSizedAnswer(
+        response,
+        sizeBytes,
+        this.options.random() < truncateShare,
+      );
       return;
     }
     if (this.options.random() < truncateShare) {
@@ -154,29 +158,29 @@
   }
 }
 
-function deadlinePassed(request: IncomingMessage): boolean {
+function isPastDeadline(request: IncomingMessage): boolean {
   const deadline = Number(request.headers['lockpin-deadline']);
   return Number.isFinite(deadline) && deadline > 0 && Date.now() > deadline;
 }
 
 const CHUNK_BYTES = 16 * 1024;
 
-/** Answers up to this size are sent whole, with every byte value in them. */
-const SMALL_BYTES = 4096;
+/** Answers up to this size are sent in one piece, with all byte values. */
+const MAXIMUM_SMALL_BYTES = 4096;
 
-/** Bytes that a call asks for by ?answerBytes=. */
-function answerBytes(path: string): number {
+/** The answer size requested by the answerBytes query parameter, in bytes. */
+function requestedAnswerBytes(path: string): number {
   const {searchParams} = new URL(path, 'http://upstream');
   return Number(searchParams.get('answerBytes') ?? 0);
 }
 
-/** Sends a large answer in chunks, or breaks it off in the middle. */
-function sendLarge(
+/** Sends an answer of the given size; a large one in chunks, optionally cut. */
+function sendSizedAnswer(
   response: ServerResponse,
   bytes: number,
   isCut: boolean,
 ): void {
-  if (bytes <= SMALL_BYTES) {
+  if (bytes <= MAXIMUM_SMALL_BYTES) {
     response.writeHead(200, {'content-length': bytes});
     response.end(Buffer.from(Array.from({length: bytes}, (_, i) => i & 255)));
     return;
@@ -184,12 +188,12 @@
   response.writeHead(200, {'content-type': 'application/octet-stream'});
   const end = isCut ? bytes / 2 : bytes;
   let sent = 0;
-  const more = (): void => {
+  const sendMore = (): void => {
     while (sent < end) {
       const length = Math.min(CHUNK_BYTES, end - sent);
       sent += length;
       if (!response.write(Buffer.alloc(length, 7))) {
-        response.once('drain', more);
+        response.once('drain', sendMore);
         return;
       }
     }
@@ -199,5 +203,5 @@
       response.end();
     }
   };
-  more();
+  sendMore();
 }
