--- a/packages/tools/src/faults/main.ts
+++ b/packages/tools/src/faults/main.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** npm run faults: writes docs/FAULTS.md. */
+/** `npm run faults`: generates docs/FAULTS.md. */
 
 import {writeFile} from 'node:fs/promises';
 import {renderFaults} from './renderFaults.js';
--- a/packages/tools/src/faults/renderFaults.ts
+++ b/packages/tools/src/faults/renderFaults.ts
@@ -1,11 +1,11 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** docs/FAULTS.md out of the matrix. */
+/** Renders docs/FAULTS.md from the fault matrix. */
 
 import {FAULT_MATRIX, STEPS} from './matrix.js';
 import type {Cell, TestReference} from './matrix.js';
 import {PLATFORM_PROMISES} from './platformPromises.js';
 
-/** The whole page. */
+/** Returns the Markdown text of the page. */
 export function renderFaults(): string {
   const tests = allTests();
   const rows = FAULT_MATRIX.map(
@@ -40,7 +40,7 @@
   ].join('\n');
 }
 
-/** Every test that the matrix names, each once. */
+/** Returns every referenced test once. */
 export function allTests(): readonly TestReference[] {
   const found = new Map<string, TestReference>();
   for (const {cells} of FAULT_MATRIX) {
--- a/packages/tools/src/harness/deployments.ts
+++ b/packages/tools/src/harness/deployments.ts
@@ -1,7 +1,7 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** The two deployments of today, as the users describe them. */
+/** The two deployments of the users, as tools and tests reproduce them. */
 
-/** A kind of call as the tools drive it. */
+/** A route, with the share of the generated traffic that it receives. */
 export interface DeployedRoute {
   readonly name: string;
   readonly method: 'GET' | 'POST';
@@ -13,7 +13,7 @@
   readonly trafficShare: number;
 }
 
-/** A service with as many targets as it has today. */
+/** A service and its number of upstreams. */
 export interface DeployedService {
   readonly name: string;
   readonly targets: number;
@@ -22,7 +22,7 @@
   readonly routes: readonly DeployedRoute[];
 }
 
-/** One site. */
+/** The boxes, services and upstreams of one site. */
 export interface Deployment {
   readonly customer: string;
   readonly dataCentres: readonly string[];
@@ -96,10 +96,10 @@
   ],
 };
 
-/** The deployments by their name. */
+/** Deployments by name. */
 export const DEPLOYMENTS = {muscat, monterrey} as const;
 
-/** One of the names. */
+/** Name of a deployment. */
 export type DeploymentName = keyof typeof DEPLOYMENTS;
 
 function repeatable(
--- a/packages/tools/src/harness/manifests.ts
+++ b/packages/tools/src/harness/manifests.ts
@@ -1,11 +1,11 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** The manifests of a deployment, as its operators would write them. */
+/** The resources of a deployment and their YAML manifests. */
 
 import {stringify} from 'yaml';
 import type {Deployment} from './deployments.js';
 import type {PlacedUpstream} from './platform.js';
 
-/** All manifests in one YAML file. */
+/** Returns all manifests as one YAML file. */
 export function deploymentManifests(
   deployment: Deployment,
   upstreams: readonly PlacedUpstream[],
@@ -15,14 +15,14 @@
     .join('');
 }
 
-/** A resource to be written. */
+/** A resource to write. */
 export interface ResourceToWrite {
   readonly kind: string;
   readonly name: string;
   readonly spec: Readonly<Record<string, unknown>>;
 }
 
-/** The same as plain resources. */
+/** Returns the resources that the manifests describe. */
 export function deploymentResources(
   deployment: Deployment,
   upstreams: readonly PlacedUpstream[],
--- a/packages/tools/src/harness/nodeProcess.ts
+++ b/packages/tools/src/harness/nodeProcess.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** lockpin-node processes that the tools start, and end by their own id. */
+/** Starts lockpin-node processes and stops them by process id. */
 
 import {spawn} from 'node:child_process';
 import type {ChildProcess} from 'node:child_process';
@@ -17,34 +17,34 @@
 const SALT = '00112233445566778899aabbccddeeff';
 const SECRET = 'demo-secret';
 
-/** The token of the tools' operator. */
+/** The bootstrap token with which the tools act as operators. */
 export const OPERATOR_TOKEN = `bootstrap.${SECRET}`;
 
-/** The setting that makes nodes know the token. */
+/** Value of --bootstrap-token-hash that makes nodes accept the token. */
 export const BOOTSTRAP_TOKEN_HASH = `${SALT}:${saltedHash(SALT, SECRET)}`;
 
-const READY_MILLISECONDS = 30_000;
-const POLL_MILLISECONDS = 50;
+const READY_TIMEOUT_MILLISECONDS = 30_000;
+const POLL_INTERVAL_MILLISECONDS = 50;
 
-/** Where a node listens. */
+/** Addresses on which a node listens. */
 export interface NodeAddresses {
   readonly caller: string;
   readonly operator: string;
   readonly peer: string;
 }
 
-/** What a node process is started with. */
+/** Options of a node process. */
 export interface NodeProcessOptions {
   readonly box: string;
   readonly dataCentre: string;
   readonly logAddress: string;
   readonly boxListAddress: string;
   readonly extra?: readonly string[];
-  /** Flags of node itself. */
+  /** Flags of the Node.js runtime. */
   readonly nodeFlags?: readonly string[];
 }
 
-/** Three free addresses for one node. */
+/** Returns three free addresses for one node. */
 export async function freeNodeAddresses(): Promise<NodeAddresses> {
   const [caller = '', operator = '', peer = ''] = await freeAddresses(3);
   return {caller, operator, peer};
@@ -54,7 +54,7 @@
 export class NodeProcess {
   private process: ChildProcess | undefined;
   private exit: Promise<number | null> = Promise.resolve(null);
-  /** The last lines it logged, to show when something goes wrong. */
+  /** The last 50 chunks of its log, shown when it does not become ready. */
   readonly log: string[] = [];
 
   constructor(
@@ -90,28 +90,30 @@
     );
     this.process = child;
     endTogetherWith(child);
-    child.stderr?.on('data', (chunk: Buffer) => this.keep(String(chunk)));
+    child.stderr?.on('data', (chunk: Buffer) => this.appendLog(String(chunk)));
     this.exit = new Promise((resolve) => child.once('exit', resolve));
   }
 
   async whenReady(): Promise<void> {
-    const limit = Date.now() + READY_MILLISECONDS;
-    while (Date.now() < limit) {
+    const deadline = Date.now() + READY_TIMEOUT_MILLISECONDS;
+    while (Date.now() < deadline) {
       if (await this.isReady()) {
         return;
       }
-      await pause(POLL_MILLISECONDS);
+      await pause(POLL_INTERVAL_MILLISECONDS);
     }
-    throw new Error(`${this.options.box} is not ready: ${this.log.join('')}`);
+    throw new Error(
+      `${this.options.box} did not become ready in time; its log: ${this.log.join('')}`,
+    );
   }
 
-  /** Asks for a planned stop; resolves to the exit code. */
+  /** Sends SIGTERM for a planned stop; resolves to the exit code. */
   terminate(): Promise<number | null> {
     this.process?.kill('SIGTERM');
     return this.exit;
   }
 
-  /** Ends the process at once. */
+  /** Sends SIGKILL; resolves to the exit code. */
   kill(): Promise<number | null> {
     this.process?.kill('SIGKILL');
     return this.exit;
@@ -129,7 +131,7 @@
     }
   }
 
-  private keep(text: string): void {
+  private appendLog(text: string): void {
     this.log.push(text);
     this.log.splice(0, Math.max(0, this.log.length - 50));
   }
--- a/packages/tools/src/harness/platform.ts
+++ b/packages/tools/src/harness/platform.ts
@@ -1,14 +1,14 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** The platform's stand-ins and the upstreams of a deployment, in this process. */
+/** Runs the platform's stand-ins and the upstreams in this process. */
 
 import {BoxList, LogService, StandInUpstream} from '@lockpin/stand-ins';
 import {seededRandom} from '@lockpin/utils';
 import type {Deployment} from './deployments.js';
 import {LOOPBACK} from './ports.js';
 
-/** A target of the deployment with where it stands. */
+/** An upstream of the deployment and its location. */
 export interface PlacedUpstream {
-  /** customer/service/name */
+  /** As `customer/service/name`. */
   readonly name: string;
   readonly service: string;
   readonly box: string;
@@ -17,13 +17,13 @@
   readonly standIn: StandInUpstream;
 }
 
-/** A box of the deployment. */
+/** A box of the deployment and its data centre. */
 export interface PlacedBox {
   readonly box: string;
   readonly dataCentre: string;
 }
 
-/** Everything around lockpin. */
+/** The services around lockpin: the log, the box list and the upstreams. */
 export interface Platform {
   readonly log: LogService;
   readonly logAddress: string;
@@ -34,7 +34,7 @@
   readonly stop: () => void;
 }
 
-/** Starts the stand-ins; upstreams are spread over boxes in turn. */
+/** Starts the stand-ins; upstreams are assigned to boxes round-robin. */
 export async function startPlatform(
   deployment: Deployment,
   seed: number,
@@ -68,14 +68,14 @@
   for (const {name: service, targets} of services) {
     for (let i = 1; i <= targets; i += 1) {
       const name = `${customer}/${service}/${service}-${i}`;
-      const place = boxes[placed.length % boxes.length] as PlacedBox;
+      const placedBox = boxes[placed.length % boxes.length] as PlacedBox;
       const random = seededRandom(seed + placed.length);
       const standIn = new StandInUpstream({name, slots, random});
       const address = await standIn.start(LOOPBACK);
       placed.push({
         name,
         service: `${customer}/${service}`,
-        ...place,
+        ...placedBox,
         address,
         standIn,
       });
--- a/packages/tools/src/harness/ports.ts
+++ b/packages/tools/src/harness/ports.ts
@@ -1,26 +1,26 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Free ports on loopback. */
+/** Finds free ports on the loopback interface. */
 
 import {createServer} from 'node:net';
 
-/** All that the tools listen on. */
+/** The host on which the tools listen. */
 export const LOOPBACK = '127.0.0.1';
 
-/** Below the ports that the system gives to outgoing connections. */
+/** The range lies below the ephemeral ports of outgoing connections. */
 const FIRST_PORT = 10_000;
-const PORTS = 20_000;
+const PORT_COUNT = 20_000;
 
-/** Processes that look for ports at the same time begin at different places. */
-const STEP_BY_PROCESS = 613;
+/** Makes processes that search at the same time start at different ports. */
+const OFFSET_PER_PROCESS = 613;
 
-let next = (process.pid * STEP_BY_PROCESS) % PORTS;
+let nextOffset = (process.pid * OFFSET_PER_PROCESS) % PORT_COUNT;
 
-/** Some addresses that nothing listens on; none is given out twice in a row. */
+/** Returns addresses that nothing listens on, rotating through the range. */
 export async function freeAddresses(count: number): Promise<readonly string[]> {
   const addresses: string[] = [];
   while (addresses.length < count) {
-    const port = FIRST_PORT + next;
-    next = (next + 1) % PORTS;
+    const port = FIRST_PORT + nextOffset;
+    nextOffset = (nextOffset + 1) % PORT_COUNT;
     if (await isFree(port)) {
       addresses.push(`${LOOPBACK}:${port}`);
     }
--- a/packages/tools/src/harness/smallFleet.ts
+++ b/packages/tools/src/harness/smallFleet.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** A few whole nodes in this process, with their stand-ins, for tests. */
+/** Runs a few complete nodes and their stand-ins in one process, for tests. */
 
 import {composeNode, runNode, TOKENS, DEFAULT_SETTINGS} from '@lockpin/node';
 import type {NodeHost, NodeSettings, RunningNode} from '@lockpin/node';
@@ -23,24 +23,24 @@
   readonly container: ReturnType<typeof composeNode>;
 }
 
-/** The nodes and all around them. */
+/** The nodes and the platform around them. */
 export interface SmallFleet {
   readonly platform: Platform;
   readonly nodes: readonly SmallNode[];
   readonly mintKey: (service: string) => Promise<string>;
-  /** Request identities in the order in which upstreams ran them. */
+  /** Identities of executed requests, in order of execution per upstream. */
   readonly executions: () => readonly string[];
   readonly stop: () => Promise<void>;
 }
 
-/** What may be different from the usual. */
+/** Overrides of the defaults. */
 export interface SmallFleetOptions {
   readonly deployment?: DeploymentName;
   readonly boxes?: number;
   readonly settings?: Partial<NodeSettings>;
 }
 
-/** Starts a fleet and waits until the deployment is in force everywhere. */
+/** Starts a fleet and waits until every node has the deployment in force. */
 export async function startSmallFleet(
   options: SmallFleetOptions = {},
 ): Promise<SmallFleet> {
@@ -54,7 +54,7 @@
     nodes.push(await startSmallNode(platform, place, options.settings));
   }
   await until(() => nodes.every(({host}) => host.isReady));
-  await until(() => nodes.every(({host}) => knowsAll(host, nodes.length)));
+  await until(() => nodes.every(({host}) => seesMembers(host, nodes.length)));
   await publishDeployment(deployment, platform, nodes);
   return {
     platform,
@@ -131,7 +131,7 @@
   return keys[0] as string;
 }
 
-function knowsAll(host: NodeHost, count: number): boolean {
+function seesMembers(host: NodeHost, count: number): boolean {
   const members = host.control.membership.all();
   return members.filter(({state}) => state === 'alive').length === count;
 }
--- a/packages/tools/src/harness/startedProcesses.ts
+++ b/packages/tools/src/harness/startedProcesses.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Processes that the tools started; none outlives the tool that started it. */
+/** Kills child processes when the tool that started them exits. */
 
 import type {ChildProcess} from 'node:child_process';
 
@@ -9,7 +9,7 @@
 process.once('SIGTERM', () => process.exit(1));
 process.once('SIGINT', () => process.exit(1));
 
-/** Ends a process together with this one, at the latest. */
+/** Kills a child process with SIGKILL when this process exits. */
 export function endTogetherWith(child: ChildProcess): void {
   started.add(child);
   child.once('exit', () => started.delete(child));
--- a/packages/tools/src/harness/until.ts
+++ b/packages/tools/src/harness/until.ts
@@ -1,21 +1,23 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Waits for a condition rather than for a time. */
+/** Polls a condition. */
 
 import {setTimeout as pause} from 'node:timers/promises';
 
-const POLL_MILLISECONDS = 10;
-const LIMIT_MILLISECONDS = 30_000;
+const POLL_INTERVAL_MILLISECONDS = 10;
+const DEFAULT_TIMEOUT_MILLISECONDS = 30_000;
 
-/** Resolves once the condition holds; fails when it does not within the limit. */
+/** Resolves once the condition holds; rejects when the timeout expires. */
 export async function until(
   condition: () => boolean | Promise<boolean>,
-  limit = LIMIT_MILLISECONDS,
+  timeoutMilliseconds = DEFAULT_TIMEOUT_MILLISECONDS,
 ): Promise<void> {
-  const end = Date.now() + limit;
+  const deadline = Date.now() + timeoutMilliseconds;
   while (!(await condition())) {
-    if (Date.now() > end) {
-      throw new Error(`not so within ${limit} ms: ${condition.toString()}`);
+    if (Date.now() > deadline) {
+      throw new Error(
+        `condition not met within ${timeoutMilliseconds} ms: ${condition.toString()}`,
+      );
     }
-    await pause(POLL_MILLISECONDS);
+    await pause(POLL_INTERVAL_MILLISECONDS);
   }
 }
--- a/packages/tools/src/soak/__tests__/checkFacts.test.ts
+++ b/packages/tools/src/soak/__tests__/checkFacts.test.ts
@@ -1,12 +1,12 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** The checks of a soak find each broken promise, and nothing else. */
+/** The checks of a soak report each violated guarantee and nothing else. */
 
 import {describe, expect, it} from 'vitest';
 import {checkFacts} from '../checkFacts.js';
 import {SOAK_BOUNDS} from '../runSoak.js';
 import type {CallEnd, CallFact, SoakFacts} from '../soakFacts.js';
 
-const GOOD: CallEnd = {
+const SERVED: CallEnd = {
   kind: 'answered',
   status: 200,
   saysNotRun: false,
@@ -23,14 +23,14 @@
   timeoutMilliseconds: 1000,
   sentAt: 10_000,
   endedAt: 10_050,
-  end: GOOD,
+  end: SERVED,
 };
 
 const RUN = {requestId: 'q1', lifetime: 'i-1', at: 10_010} as const;
 const ARRIVAL = {...RUN, service: 'shop'} as const;
 
-/** Facts in which every promise is kept. */
-const KEPT: SoakFacts = {
+/** A history in which every guarantee holds. */
+const VALID_HISTORY: SoakFacts = {
   calls: [CALL],
   runs: [RUN],
   arrivals: [ARRIVAL],
@@ -44,24 +44,24 @@
   readyLifetimes: ['i-1'],
 };
 
-function brokenPromises(change: Partial<SoakFacts>): readonly string[] {
-  const facts = {...KEPT, ...change};
-  return checkFacts(facts, SOAK_BOUNDS, (id) => `answer ${id}`).map(
-    ({promise}) => promise,
+function violatedGuarantees(change: Partial<SoakFacts>): readonly string[] {
+  const history = {...VALID_HISTORY, ...change};
+  return checkFacts(history, SOAK_BOUNDS, (id) => `answer ${id}`).map(
+    ({promise: guarantee}) => guarantee,
   );
 }
 
-function ending(end: CallEnd, change: Partial<CallFact> = {}): SoakFacts {
-  // A second call that is served, so that the end of the first is all there is.
+function withEnd(end: CallEnd, change: Partial<CallFact> = {}): SoakFacts {
+  // Further calls are served, so that only the end of the first can violate.
   const served = Array.from({length: 40}, () => ({
     ...CALL,
     isRepeatable: true,
   }));
-  return {...KEPT, calls: [{...CALL, ...change, end}, ...served]};
+  return {...VALID_HISTORY, calls: [{...CALL, ...change, end}, ...served]};
 }
 
 const REFUSED: CallEnd = {
-  ...GOOD,
+  ...SERVED,
   status: 503,
   saysNotRun: true,
   hasProof: false,
@@ -69,37 +69,41 @@
 };
 
 describe('the checks of a soak', () => {
-  it('find nothing where every promise is kept', () => {
-    expect(brokenPromises({})).toEqual([]);
+  it('report nothing when every guarantee holds', () => {
+    expect(violatedGuarantees({})).toEqual([]);
   });
 
-  it('find a call that ran twice, unless it may be repeated', () => {
+  it('report a call that ran twice, unless it is repeatable', () => {
     const runs = [RUN, {...RUN, lifetime: 'i-2'}];
-    expect(brokenPromises({runs})).toEqual(['at most once']);
+    expect(violatedGuarantees({runs})).toEqual(['at most once']);
     const calls = [{...CALL, isRepeatable: true}];
-    expect(brokenPromises({runs, calls})).toEqual([]);
+    expect(violatedGuarantees({runs, calls})).toEqual([]);
   });
 
-  it('find a refusal of a call that ran, even later', () => {
+  it('report a refusal of a call that ran, even if it ran later', () => {
     const runs = [{...RUN, at: 20_000}];
-    expect(brokenPromises({...ending(REFUSED), runs})).toEqual([
-      'true refusals',
+    expect(violatedGuarantees({...withEnd(REFUSED), runs})).toEqual([
+      'truthful refusals',
     ]);
-    expect(brokenPromises({...ending(REFUSED), runs: []})).toEqual([]);
+    expect(violatedGuarantees({...withEnd(REFUSED), runs: []})).toEqual([]);
   });
 
   it.each([
-    ['a body that is cut', {...GOOD, body: 'answ'}, 'whole answers'],
-    ['no proof', {...GOOD, hasProof: false}, 'whole answers'],
-    ['the answer of another', {...GOOD, requestId: 'q2'}, 'own answers'],
-  ] as const)('find %s', (_name, end, promise) => {
-    expect(brokenPromises(ending(end))).toEqual([promise]);
+    ['a truncated body', {...SERVED, body: 'answ'}, 'complete answers'],
+    ['a missing proof', {...SERVED, hasProof: false}, 'complete answers'],
+    [
+      'the answer to another request',
+      {...SERVED, requestId: 'q2'},
+      'matching answers',
+    ],
+  ] as const)('report %s', (_name, end, guarantee) => {
+    expect(violatedGuarantees(withEnd(end))).toEqual([guarantee]);
   });
 
-  it('find an answer long after the time of its route, where all was calm', () => {
-    const late = ending(GOOD, {endedAt: 11_600});
-    expect(brokenPromises(late)).toEqual(['time limits']);
-    const troubles = [
+  it('report an answer after the timeout of its route, unless disrupted', () => {
+    const lateAnswer = withEnd(SERVED, {endedAt: 11_600});
+    expect(violatedGuarantees(lateAnswer)).toEqual(['time limits']);
+    const disruptions = [
       {
         box: 'box-1',
         isPlanned: false,
@@ -108,16 +112,18 @@
         until: 10_200,
       },
     ];
-    expect(brokenPromises({...late, troubles})).toEqual([]);
+    expect(violatedGuarantees({...lateAnswer, troubles: disruptions})).toEqual(
+      [],
+    );
   });
 
-  it('find a call that a planned stop cut off, but not one that crossed the end', () => {
+  it('report a broken call that ran, but not one that raced with the stop', () => {
     const broken: CallEnd = {kind: 'broken', hadBegun: false};
-    expect(brokenPromises(ending(broken))).toEqual(['nothing lost']);
-    expect(brokenPromises({...ending(broken), runs: []})).toEqual([]);
+    expect(violatedGuarantees(withEnd(broken))).toEqual(['no lost calls']);
+    expect(violatedGuarantees({...withEnd(broken), runs: []})).toEqual([]);
   });
 
-  it('find a stop that did not end well, and an end that nobody asked for', () => {
+  it('report a planned stop with a failing exit code and an unexpected exit', () => {
     const stop = {
       box: 'box-1',
       signalledAt: 100,
@@ -125,46 +131,52 @@
       exitCode: 1,
       wasKilled: false,
     };
-    expect(brokenPromises({stops: [stop]})).toEqual(['planned stops']);
-    const unasked = [{box: 'box-1', at: 5, exitCode: null}];
-    expect(brokenPromises({unasked})).toEqual(['keeps running']);
+    expect(violatedGuarantees({stops: [stop]})).toEqual(['planned stops']);
+    const unexpectedExits = [{box: 'box-1', at: 5, exitCode: null}];
+    expect(violatedGuarantees({unasked: unexpectedExits})).toEqual([
+      'no unexpected exits',
+    ]);
   });
 
-  it('find work that reached an upstream long after its drain was acknowledged', () => {
+  it('report calls that arrive too late after an acknowledged drain', () => {
     const drain = {lifetime: 'i-1', box: 'box-1'};
     const early = {...drain, acknowledgedAt: 8000};
-    expect(brokenPromises({drains: [early]})).toEqual(['drains']);
+    expect(violatedGuarantees({drains: [early]})).toEqual(['drains']);
     const recent = {...drain, acknowledgedAt: 9500};
-    expect(brokenPromises({drains: [recent]})).toEqual([]);
+    expect(violatedGuarantees({drains: [recent]})).toEqual([]);
   });
 
-  it('find a version that is not in force in time, and one that comes back', () => {
+  it('report a version that is not in force in time and a version rollback', () => {
     const asked = {box: 'box-1', life: 1, version: 1};
     const unknown = {...asked, sentAt: 5000, endedAt: 5010, isKnown: false};
-    expect(brokenPromises({markers: [unknown]})).toEqual(['versions in force']);
-    const markers = [
+    expect(violatedGuarantees({markers: [unknown]})).toEqual([
+      'versions in force',
+    ]);
+    const versionProbes = [
       {...asked, version: 2, sentAt: 5000, endedAt: 5001, isKnown: true},
       {...asked, sentAt: 6000, endedAt: 6001, isKnown: true},
     ];
-    expect(brokenPromises({markers})).toEqual(['no version goes back']);
-    const restarted = markers.map((marker, life) => ({...marker, life}));
-    expect(brokenPromises({markers: restarted})).toEqual([]);
+    expect(violatedGuarantees({markers: versionProbes})).toEqual([
+      'no version rollback',
+    ]);
+    const restarted = versionProbes.map((probe, life) => ({...probe, life}));
+    expect(violatedGuarantees({markers: restarted})).toEqual([]);
   });
 
-  it('find more repeats in a window than the fleet may make', () => {
+  it('report more retries in a window than the retry budget allows', () => {
     const arrivals = Array.from({length: 60}, (_, i) => ({
       ...ARRIVAL,
       at: 10_010 + i,
     }));
-    expect(brokenPromises({arrivals})).toEqual(['retry budget']);
-    expect(brokenPromises({arrivals: arrivals.slice(5)})).toEqual([]);
+    expect(violatedGuarantees({arrivals})).toEqual(['retry budget']);
+    expect(violatedGuarantees({arrivals: arrivals.slice(5)})).toEqual([]);
   });
 
-  it('find calls that are not served, and upstreams that get none, at the end', () => {
+  it('report unserved calls and idle upstreams in steady state', () => {
     expect(
-      brokenPromises({calls: [{...CALL, end: REFUSED}], runs: []}),
+      violatedGuarantees({calls: [{...CALL, end: REFUSED}], runs: []}),
     ).toEqual(['recovery']);
-    expect(brokenPromises({readyLifetimes: ['i-1', 'i-2']})).toEqual([
+    expect(violatedGuarantees({readyLifetimes: ['i-1', 'i-2']})).toEqual([
       'recovery',
     ]);
   });
--- a/packages/tools/src/soak/__tests__/soak.test.ts
+++ b/packages/tools/src/soak/__tests__/soak.test.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** A short soak of real processes, with a seed that is the same every time. */
+/** A short soak of real processes with fixed seeds. */
 
 import {mkdtempSync} from 'node:fs';
 import {tmpdir} from 'node:os';
@@ -19,7 +19,7 @@
     expect(faults).toBeGreaterThan(5);
   });
 
-  it('keeps them through restarts under the same id and other writers', async () => {
+  it('keeps them through restarts under the same id and invalid writes', async () => {
     const folder = mkdtempSync(join(tmpdir(), 'lockpin-soak-'));
     const size = {...SIZE, faults: 'second'} as const;
     const {violations, calls} = await runSoak(SEED + 1, size, folder);
@@ -27,7 +27,7 @@
     expect(calls).toBeGreaterThan(200);
   });
 
-  it('keeps them while the store is restored again and again', async () => {
+  it('keeps them while the store is restored repeatedly', async () => {
     const folder = mkdtempSync(join(tmpdir(), 'lockpin-soak-'));
     const size = {...SIZE, faults: 'all'} as const;
     const {violations, calls} = await runSoak(SEED + 2, size, folder);
--- a/packages/tools/src/soak/applyFault.ts
+++ b/packages/tools/src/soak/applyFault.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Does what the plan says, and notes when it began and ended. */
+/** Injects planned faults and records when each began and ended. */
 
 import {setTimeout as pause} from 'node:timers/promises';
 import type {PlannedFault} from './faultPlan.js';
@@ -8,7 +8,7 @@
 import type {SoakRecorder} from './soakRecorder.js';
 import type {SoakStore} from './soakStore.js';
 
-/** What faults are applied to. */
+/** The boxes and the store to inject faults into, and the recorder. */
 export interface FaultTargets {
   readonly boxes: readonly SoakBox[];
   readonly store: SoakStore;
@@ -42,7 +42,8 @@
       store.writeOther(targets.boxes[fault.box]?.name ?? '', fault.value);
       return;
     case 'other-announcement':
-      // The good ones hold, so that this excuses nothing.
+      // Nodes keep the valid announcement, so no disruption is recorded that
+      // would relax the checks.
       await targets.boxes[fault.box]?.upstreams.misstate(fault.fields);
       return;
     default: {
@@ -54,13 +55,13 @@
   }
 }
 
-/** Faults that befall one box. */
+/** Faults of a single box that count as disruptions. */
 type BoxFault = Exclude<
   PlannedFault & {readonly box: number},
   {readonly kind: 'other-announcement' | 'other-record'}
 >;
 
-/** What operators do on purpose, and are promised to lose nothing by. */
+/** Operator actions, which are guaranteed to lose no call. */
 const PLANNED_KINDS: ReadonlySet<BoxFault['kind']> = new Set([
   'stop',
   'reload',
@@ -74,11 +75,11 @@
 ): Promise<void> {
   const isPlanned = PLANNED_KINDS.has(fault.kind);
   await recorder.trouble(box.name, isPlanned, fault.kind, () =>
-    trouble(recorder, box, fault),
+    injectBoxFault(recorder, box, fault),
   );
 }
 
-async function trouble(
+async function injectBoxFault(
   recorder: SoakRecorder,
   box: SoakBox,
   fault: BoxFault,
@@ -106,7 +107,7 @@
       box.link(fault.link).setFault(HEALTHY_LINK);
       break;
     case 'upstream':
-      await misbehave(box, fault);
+      await injectUpstreamFault(box, fault);
       break;
     case 'replace-upstream':
       await box.upstreams.replace();
@@ -120,16 +121,20 @@
   }
 }
 
-async function misbehave(
+async function injectUpstreamFault(
   box: SoakBox,
-  {mood, share, lasts}: PlannedFault & {readonly kind: 'upstream'},
+  {
+    mood: mode,
+    share,
+    lasts: durationMilliseconds,
+  }: PlannedFault & {readonly kind: 'upstream'},
 ): Promise<void> {
   const standIn = box.upstreams.present?.standIn;
   if (standIn === undefined) {
     return;
   }
-  standIn.mood = mood;
+  standIn.mood = mode;
   standIn.moodShare = share;
-  await pause(lasts);
+  await pause(durationMilliseconds);
   standIn.mood = 'well';
 }
--- a/packages/tools/src/soak/boxProcess.ts
+++ b/packages/tools/src/soak/boxProcess.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** The process of a box's node, started and ended many times in a soak. */
+/** Starts, stops and restarts the node process of a box. */
 
 import {spawn} from 'node:child_process';
 import type {ChildProcess} from 'node:child_process';
@@ -9,60 +9,61 @@
 import {endTogetherWith} from '../harness/startedProcesses.js';
 import type {ExitFact, StopFact} from './soakFacts.js';
 
-/** The node as it is built. */
+/** Path of the built node bundle. */
 export const NODE_BUNDLE = fileURLToPath(
   new URL('../../../../target/lockpin-node.mjs', import.meta.url),
 );
 
 /**
- * From the signal to stop until a node is killed. Callers are served for 0.42 of
- * it, and the longest call that comes then must still end before 0.85 of it.
+ * Time between SIGTERM and SIGKILL. A stopping node accepts calls for 0.42 of
+ * it; the longest call accepted until then must end before 0.85 of it.
  */
 export const STOP_LIMIT_MILLISECONDS = 4000;
 
-/** A process that ended by itself is started again after this. */
-const RESTART_MILLISECONDS = 300;
+/** Delay before the restart of a process that exited unexpectedly. */
+const RESTART_DELAY_MILLISECONDS = 300;
 
 /**
- * Before a program's first line runs, a signal ends it whatever the program does.
- * Node.js itself takes 50 ms of processor time for that, more on a busy machine.
+ * A signal terminates a program that has not yet installed its handler. Node.js
+ * takes 50 ms of processor time to reach the first line of a program, and more
+ * on a busy machine.
  */
 const RUNTIME_START_MILLISECONDS = 300;
 
-/** What a box's process is started with. */
+/** Options of a box process. */
 export interface BoxProcessOptions {
   readonly box: string;
   readonly logFile: string;
-  /** Arguments of the runtime; the bundle as it is built when absent. */
+  /** Arguments of the Node.js runtime; by default, the built bundle. */
   readonly command?: readonly string[];
-  /** Lays the settings for a start; returns the variables that tell of them. */
+  /** Writes the settings of a start; returns the environment variables. */
   readonly laySettings: () => Readonly<Record<string, string>>;
   readonly isOver: () => boolean;
   readonly onUnaskedExit: (exit: ExitFact) => void;
 }
 
-/** Lives as long as its box; runs one process at a time. */
+/** Runs at most one process of its box at a time. */
 export class BoxProcess {
   private starts = 0;
   private process: ChildProcess | undefined;
   private spawnedAt = 0;
   private exit: Promise<number | null> = Promise.resolve(null);
-  /** The process was told to end. */
+  /** Whether the process was killed or asked to stop. */
   private isEnding = false;
 
   constructor(private readonly options: BoxProcessOptions) {}
 
-  /** Counts the starts of the process. */
+  /** Number of process starts so far; identifies the current process. */
   get life(): number {
     return this.starts;
   }
 
-  /** Of the process that runs now. */
+  /** Process id of the running process. */
   get pid(): number | undefined {
     return this.process?.pid;
   }
 
-  /** Starts the node, unless it runs. */
+  /** Starts the node unless it is already running. */
   start(): void {
     if (this.process !== undefined || this.options.isOver()) {
       return;
@@ -76,20 +77,20 @@
     this.exit = new Promise((resolve) =>
       child.once('exit', (code) => {
         this.process = undefined;
-        this.exited(code);
+        this.handleExit(code);
         resolve(code);
       }),
     );
   }
 
-  /** Ends the node at once; resolves when it is gone. */
+  /** Kills the node; resolves when it has exited. */
   async kill(): Promise<void> {
     this.isEnding = true;
     this.process?.kill('SIGKILL');
     await this.exit;
   }
 
-  /** Asks the node to stop; undefined when it does not run. */
+  /** Performs a planned stop; undefined when the node is not running. */
   async stop(): Promise<StopFact | undefined> {
     const child = this.process;
     if (child === undefined) {
@@ -99,18 +100,18 @@
     this.isEnding = true;
     child.kill('SIGTERM');
     let wasKilled = false;
-    const last = setTimeout(() => {
+    const killTimer = setTimeout(() => {
       wasKilled = true;
       child.kill('SIGKILL');
     }, STOP_LIMIT_MILLISECONDS);
     const exitCode = await this.exit;
-    clearTimeout(last);
+    clearTimeout(killTimer);
     const exitedAt = Date.now();
     const {box} = this.options;
     return {box, signalledAt, exitedAt, exitCode, wasKilled};
   }
 
-  /** Stands the node still for a while. */
+  /** Suspends the node with SIGSTOP for a time. */
   async pause(milliseconds: number): Promise<void> {
     const child = this.process;
     child?.kill('SIGSTOP');
@@ -118,14 +119,14 @@
     child?.kill('SIGCONT');
   }
 
-  /** Tells the node to read its settings, unless that could end it. */
+  /** Sends SIGHUP, unless the node may not have its signal handler yet. */
   hangUp(): void {
     if (Date.now() - this.spawnedAt > RUNTIME_START_MILLISECONDS) {
       this.process?.kill('SIGHUP');
     }
   }
 
-  /** Ends the node for good, also while it stands still. */
+  /** Kills the node at the end of the soak, even when it is suspended. */
   async end(): Promise<void> {
     this.process?.kill('SIGCONT');
     this.process?.kill('SIGKILL');
@@ -133,8 +134,12 @@
   }
 
   private spawn(): ChildProcess {
-    const {logFile, laySettings, command = [NODE_BUNDLE]} = this.options;
-    const variables = laySettings();
+    const {
+      logFile,
+      laySettings: prepareEnvironment,
+      command = [NODE_BUNDLE],
+    } = this.options;
+    const variables = prepareEnvironment();
     const log = openSync(logFile, 'a');
     const child = spawn(process.execPath, [...command], {
       stdio: ['ignore', log, log],
@@ -144,13 +149,13 @@
     return child;
   }
 
-  /** What ends by itself is started again, as on a real box. */
-  private exited(exitCode: number | null): void {
-    const {box, isOver, onUnaskedExit} = this.options;
+  /** Restarts a process that exited unexpectedly, as on a real box. */
+  private handleExit(exitCode: number | null): void {
+    const {box, isOver, onUnaskedExit: onUnexpectedExit} = this.options;
     if (this.isEnding || isOver()) {
       return;
     }
-    onUnaskedExit({box, at: Date.now(), exitCode});
-    setTimeout(() => this.start(), RESTART_MILLISECONDS);
+    onUnexpectedExit({box, at: Date.now(), exitCode});
+    setTimeout(() => this.start(), RESTART_DELAY_MILLISECONDS);
   }
 }
--- a/packages/tools/src/soak/boxUpstreams.ts
+++ b/packages/tools/src/soak/boxUpstreams.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** The upstreams beside a box's node, one after the other. */
+/** Runs the upstream of a box and replaces it when it leaves or crashes. */
 
 import {setTimeout as pause} from 'node:timers/promises';
 import {UpstreamAnnouncer, UpstreamStandIn} from '@lockpin/platform-stand-ins';
@@ -7,23 +7,23 @@
 import type {LinkProxy} from './linkProxy.js';
 import type {DrainFact} from './soakFacts.js';
 
-/** Time that upstreams work on a request. */
+/** Service time of a request. */
 const WORK_MILLISECONDS = 15;
 
 const UPSTREAM_SLOTS = 4;
 
-/** Upstreams announce themselves this often. */
-const HEARTBEAT_MILLISECONDS = 300;
+/** Interval between announcements of an upstream. */
+const HEARTBEAT_INTERVAL_MILLISECONDS = 300;
 
-/** A leaving upstream whose drain nobody acknowledges leaves after this. */
-const UNHEARD_MILLISECONDS = 3000;
+/** An upstream leaves after this even if its drain is not acknowledged. */
+const DRAIN_TIMEOUT_MILLISECONDS = 3000;
 
-/** Served longer than the promise, so that a late call shows as an arrival. */
+/** Time served past the drain limit, so that late calls are recorded. */
 const LINGER_MILLISECONDS = 1500;
 
-/** The upstream of a box from its start to its end. */
+/** One upstream process of a box. */
 export interface UpstreamLife {
-  /** Tells its process from all others, those with the same id among them. */
+  /** Unique identity of the process, even among restarts under the same id. */
   readonly process: string;
   readonly standIn: UpstreamStandIn;
   readonly service: string;
@@ -31,36 +31,36 @@
   state: 'ready' | 'draining' | 'gone';
 }
 
-/** What the upstreams of a box are started with. */
+/** Options for the upstreams of a box. */
 export interface BoxUpstreamsOptions {
   readonly box: string;
   readonly service: string;
-  /** Where the node beside them hears announcements. */
+  /** Address on which the node of the box receives announcements. */
   readonly announcementAddress: string;
-  /** Between the node and whichever upstream is there. */
+  /** Link between the node and the current upstream. */
   readonly link: LinkProxy;
   readonly random: RandomSource;
-  /** After an acknowledged drain, an upstream gets nothing more. */
+  /** Limit after an acknowledged drain for calls to stop arriving. */
   readonly drainMilliseconds: number;
   readonly isOver: () => boolean;
   readonly onDrained: (drain: DrainFact) => void;
 }
 
-/** Lives as long as its box. */
+/** Runs at most one upstream of its box at a time. */
 export class BoxUpstreams {
-  private readonly lives: UpstreamLife[] = [];
+  private readonly instances: UpstreamLife[] = [];
   private linkAddress = '';
 
   constructor(private readonly options: BoxUpstreamsOptions) {}
 
-  /** Every upstream that ever was there; the last is the present one. */
+  /** All upstreams so far, ending with the current one. */
   get all(): readonly UpstreamLife[] {
-    return this.lives;
+    return this.instances;
   }
 
-  /** The upstream that is beside the node now. */
+  /** The current upstream. */
   get present(): UpstreamLife | undefined {
-    return this.lives.at(-1);
+    return this.instances.at(-1);
   }
 
   /** Starts the link and the first upstream. */
@@ -69,19 +69,19 @@
     await this.startNext();
   }
 
-  /** Announces whichever upstream is there, until the soak is over. */
+  /** Announces the current upstream periodically until the soak is over. */
   async keepAnnouncing(): Promise<void> {
     const {announcementAddress, isOver} = this.options;
     while (!isOver()) {
-      const {present} = this;
-      if (present !== undefined && present.state !== 'gone') {
-        await present.announcer.say(announcementAddress, present.state);
+      const {present: current} = this;
+      if (current !== undefined && current.state !== 'gone') {
+        await current.announcer.say(announcementAddress, current.state);
       }
-      await pause(HEARTBEAT_MILLISECONDS);
+      await pause(HEARTBEAT_INTERVAL_MILLISECONDS);
     }
   }
 
-  /** The upstream leaves after it drained; the next one takes its place. */
+  /** Drains the upstream, lets it leave and starts its replacement. */
   async replace(): Promise<void> {
     const leaving = this.present;
     if (leaving?.state !== 'ready') {
@@ -90,8 +90,8 @@
     leaving.state = 'draining';
     const {process} = leaving;
     const {box, drainMilliseconds, onDrained} = this.options;
-    const isHeard = await this.isDrainHeard(leaving);
-    if (isHeard) {
+    const isAcknowledged = await this.announceDrain(leaving);
+    if (isAcknowledged) {
       onDrained({lifetime: process, box, acknowledgedAt: Date.now()});
       await pause(drainMilliseconds + LINGER_MILLISECONDS);
     }
@@ -99,45 +99,45 @@
     await this.crash();
   }
 
-  /** Another writer speaks in the upstream's name, and nobody believes it. */
+  /** Sends an announcement with invalid fields in the upstream's name. */
   async misstate(fields: object): Promise<void> {
     const {announcementAddress} = this.options;
     await this.present?.announcer.sayOther(announcementAddress, fields);
   }
 
-  /** The upstream is gone; the next one takes its place, and maybe its id. */
+  /** Stops the upstream without notice and starts its replacement. */
   async crash(keepsId = false): Promise<void> {
-    const gone = this.present;
-    if (gone !== undefined) {
-      gone.state = 'gone';
-      gone.standIn.stop();
+    const previous = this.present;
+    if (previous !== undefined) {
+      previous.state = 'gone';
+      previous.standIn.stop();
     }
     if (!this.options.isOver()) {
-      const id = keepsId ? gone?.standIn.lifetime : undefined;
+      const id = keepsId ? previous?.standIn.lifetime : undefined;
       await this.startNext(id);
     }
   }
 
-  /** Stops whatever still listens. */
+  /** Stops all upstreams. */
   stop(): void {
-    this.lives.forEach(({standIn}) => standIn.stop());
+    this.instances.forEach(({standIn}) => standIn.stop());
   }
 
-  private async isDrainHeard({announcer}: UpstreamLife): Promise<boolean> {
+  private async announceDrain({announcer}: UpstreamLife): Promise<boolean> {
     const {announcementAddress, isOver} = this.options;
-    const limit = Date.now() + UNHEARD_MILLISECONDS;
-    while (Date.now() < limit && !isOver()) {
+    const deadline = Date.now() + DRAIN_TIMEOUT_MILLISECONDS;
+    while (Date.now() < deadline && !isOver()) {
       if (await announcer.say(announcementAddress, 'draining')) {
         return true;
       }
-      await pause(HEARTBEAT_MILLISECONDS);
+      await pause(HEARTBEAT_INTERVAL_MILLISECONDS);
     }
     return false;
   }
 
   private async startNext(id?: string): Promise<void> {
     const {box, service, link, random} = this.options;
-    const lifetime = id ?? `i-${box}-${this.lives.length + 1}`;
+    const lifetime = id ?? `i-${box}-${this.instances.length + 1}`;
     const startedAt = Date.now();
     const standIn = new UpstreamStandIn(lifetime, random);
     standIn.workMilliseconds = WORK_MILLISECONDS;
@@ -150,6 +150,6 @@
       slots: UPSTREAM_SLOTS,
     });
     const process = `${lifetime}@${startedAt}`;
-    this.lives.push({process, standIn, service, announcer, state: 'ready'});
+    this.instances.push({process, standIn, service, announcer, state: 'ready'});
   }
 }
--- a/packages/tools/src/soak/calmSpans.ts
+++ b/packages/tools/src/soak/calmSpans.ts
@@ -1,21 +1,21 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Spans of time in which nothing was done to a box. */
+/** Checks time spans for disruptions. */
 
 import type {TroubleFact} from './soakFacts.js';
 
-/** Whether a box, its links and the store were left alone in a span of time. */
+/** Whether no matching disruption of the box or the store overlaps the span. */
 export function isCalm(
-  troubles: readonly TroubleFact[],
+  disruptions: readonly TroubleFact[],
   box: string,
   from: number,
   until: number,
-  counts: (trouble: TroubleFact) => boolean = () => true,
+  matches: (disruption: TroubleFact) => boolean = () => true,
 ): boolean {
-  return !troubles.some(
-    (trouble) =>
-      (trouble.box === box || trouble.box === '') &&
-      trouble.from <= until &&
-      trouble.until >= from &&
-      counts(trouble),
+  return !disruptions.some(
+    (disruption) =>
+      (disruption.box === box || disruption.box === '') &&
+      disruption.from <= until &&
+      disruption.until >= from &&
+      matches(disruption),
   );
 }
--- a/packages/tools/src/soak/checkConfiguration.ts
+++ b/packages/tools/src/soak/checkConfiguration.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Whether versions came into force in time, and whether any went back. */
+/** Checks that configuration versions apply in time and never roll back. */
 
 import {isCalm} from './calmSpans.js';
 import {broken} from './soakFacts.js';
@@ -10,57 +10,68 @@
   Violation,
 } from './soakFacts.js';
 
-/** Broken promises about the configuration. */
+/** Returns violations of the configuration guarantees. */
 export function checkConfiguration(
-  facts: SoakFacts,
+  history: SoakFacts,
   bounds: SoakBounds,
 ): readonly Violation[] {
-  return [...checkInForce(facts, bounds), ...checkNeverBack(facts, bounds)];
+  return [
+    ...checkInForce(history, bounds),
+    ...checkNoRollback(history, bounds),
+  ];
 }
 
-/** An untroubled box knows the newest version soon. */
+/** An undisrupted box must apply the newest version within the limit. */
 function checkInForce(
-  {markers, versions, troubles}: SoakFacts,
-  {applyMilliseconds, contactMilliseconds}: SoakBounds,
+  {markers: versionProbes, versions, troubles: disruptions}: SoakFacts,
+  {applyMilliseconds, contactMilliseconds: settleMilliseconds}: SoakBounds,
 ): readonly Violation[] {
-  return markers
+  return versionProbes
     .filter(({isKnown, version, sentAt, endedAt}) => {
-      const own = versions.find((item) => item.version === version);
+      const probed = versions.find((item) => item.version === version);
       const next = versions.find((item) => item.version > version);
       return (
         isKnown === false &&
-        own !== undefined &&
-        sentAt > own.confirmedAt + applyMilliseconds &&
+        probed !== undefined &&
+        sentAt > probed.confirmedAt + applyMilliseconds &&
         (next === undefined || endedAt < next.confirmedAt)
       );
     })
     .filter(({box, sentAt}) =>
       isCalm(
-        troubles,
+        disruptions,
         box,
-        sentAt - contactMilliseconds - applyMilliseconds,
+        sentAt - settleMilliseconds - applyMilliseconds,
         sentAt,
       ),
     )
     .map(({box, version, sentAt}) =>
-      broken('versions in force', box, `${version} unknown at ${sentAt}`),
+      broken(
+        'versions in force',
+        box,
+        `version ${version} not in force at ${sentAt}`,
+      ),
     );
 }
 
-/** Within one life of a process, no older version is met after a newer one. */
-function checkNeverBack(
-  {markers}: SoakFacts,
+/** Within one process, no older version may be observed after a newer one. */
+function checkNoRollback(
+  {markers: versionProbes}: SoakFacts,
   {rollbackMilliseconds}: SoakBounds,
 ): readonly Violation[] {
-  const known = markers.filter(({isKnown}) => isKnown === true);
-  const isNewer = (marker: MarkerFact, other: MarkerFact): boolean =>
-    other.box === marker.box &&
-    other.life === marker.life &&
-    other.version > marker.version &&
-    other.sentAt + rollbackMilliseconds < marker.sentAt;
+  const known = versionProbes.filter(({isKnown}) => isKnown === true);
+  const isNewer = (probe: MarkerFact, other: MarkerFact): boolean =>
+    other.box === probe.box &&
+    other.life === probe.life &&
+    other.version > probe.version &&
+    other.sentAt + rollbackMilliseconds < probe.sentAt;
   return known
-    .filter((marker) => known.some((other) => isNewer(marker, other)))
+    .filter((probe) => known.some((other) => isNewer(probe, other)))
     .map(({box, version, sentAt}) =>
-      broken('no version goes back', box, `${version} again at ${sentAt}`),
+      broken(
+        'no version rollback',
+        box,
+        `version ${version} observed again at ${sentAt}`,
+      ),
     );
 }
--- a/packages/tools/src/soak/checkFacts.ts
+++ b/packages/tools/src/soak/checkFacts.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Holds what was seen in a soak against what the system promises. */
+/** Checks the recorded history of a soak against the guarantees. */
 
 import {isCalm} from './calmSpans.js';
 import {checkConfiguration} from './checkConfiguration.js';
@@ -14,35 +14,35 @@
   Violation,
 } from './soakFacts.js';
 
-/** Share of the calls of the last phase that must be served. */
-const SERVED_AT_LAST = 0.95;
+/** Share of the calls of the steady-state phase that must be served. */
+const MINIMUM_SERVED_SHARE = 0.95;
 
-/** Successes are the statuses from the first up to, but without, the second. */
-const FIRST_SUCCESS = 200;
-const FIRST_FAILED = 300;
+/** Successful statuses: start inclusive, end exclusive. */
+const SUCCESS_STATUS_START = 200;
+const SUCCESS_STATUS_END = 300;
 
-/** Every broken promise; empty when all were kept. */
+/** Returns every violation; empty when all guarantees hold. */
 export function checkFacts(
-  facts: SoakFacts,
+  history: SoakFacts,
   bounds: SoakBounds,
   answerBody: (requestId: string) => string,
 ): readonly Violation[] {
-  const runs = runsByRequest(facts.runs);
+  const runs = runsByRequest(history.runs);
   return [
-    ...facts.calls.flatMap((call) => [
+    ...history.calls.flatMap((call) => [
       ...checkRuns(call, runs),
       ...checkAnswer(call, runs, answerBody),
-      ...checkTimeLimit(call, facts.troubles, bounds),
+      ...checkTimeLimit(call, history.troubles, bounds),
     ]),
-    ...checkStops(facts),
-    ...checkLosses(facts, runs, bounds),
-    ...facts.unasked.map(({box, exitCode}) =>
-      broken('keeps running', box, `ended with ${String(exitCode)}`),
+    ...checkStops(history),
+    ...checkLosses(history, runs, bounds),
+    ...history.unasked.map(({box, exitCode}) =>
+      broken('no unexpected exits', box, `exit code ${String(exitCode)}`),
     ),
-    ...checkDrains(facts, bounds),
-    ...checkConfiguration(facts, bounds),
-    ...checkRetries(facts, bounds),
-    ...checkRecovery(facts),
+    ...checkDrains(history, bounds),
+    ...checkConfiguration(history, bounds),
+    ...checkRetries(history, bounds),
+    ...checkRecovery(history),
   ];
 }
 
@@ -72,36 +72,53 @@
   if (end.kind !== 'answered') {
     return [];
   }
-  const found: Violation[] = [];
+  const violations: Violation[] = [];
   const {status, saysNotRun, hasProof, body} = end;
   const hasRun = (runs.get(requestId) ?? 0) > 0;
   if (saysNotRun && hasRun && !isRepeatable) {
-    found.push(broken('true refusals', requestId, `${status}, but it ran`));
+    violations.push(
+      broken(
+        'truthful refusals',
+        requestId,
+        `status ${status}, but the request ran`,
+      ),
+    );
   }
-  const isSuccess = status < FIRST_FAILED && status >= FIRST_SUCCESS;
+  const isSuccess =
+    status < SUCCESS_STATUS_END && status >= SUCCESS_STATUS_START;
   if (isSuccess && (!hasProof || body !== answerBody(requestId))) {
-    found.push(broken('whole answers', requestId, `${status} with ${body}`));
+    violations.push(
+      broken(
+        'complete answers',
+        requestId,
+        `status ${status} with body ${body}`,
+      ),
+    );
   }
   if (end.requestId !== undefined && end.requestId !== requestId) {
-    found.push(
-      broken('own answers', requestId, `got that of ${end.requestId}`),
+    violations.push(
+      broken(
+        'matching answers',
+        requestId,
+        `got the answer to ${end.requestId}`,
+      ),
     );
   }
-  return found;
+  return violations;
 }
 
-/** An untroubled box gives a final answer when the route's time is over. */
+/** An undisrupted box must give a final answer within the route's timeout. */
 function checkTimeLimit(
   call: CallFact,
-  troubles: readonly TroubleFact[],
-  {contactMilliseconds, lateMilliseconds}: SoakBounds,
+  disruptions: readonly TroubleFact[],
+  {contactMilliseconds: settleMilliseconds, lateMilliseconds}: SoakBounds,
 ): readonly Violation[] {
   const {requestId, box, sentAt, endedAt, timeoutMilliseconds} = call;
-  const took = endedAt - sentAt;
-  const isLate = took > timeoutMilliseconds + lateMilliseconds;
-  const from = sentAt - contactMilliseconds;
-  return isLate && isCalm(troubles, box, from, endedAt)
-    ? [broken('time limits', requestId, `${took} ms at ${box}`)]
+  const durationMilliseconds = endedAt - sentAt;
+  const isLate = durationMilliseconds > timeoutMilliseconds + lateMilliseconds;
+  const from = sentAt - settleMilliseconds;
+  return isLate && isCalm(disruptions, box, from, endedAt)
+    ? [broken('time limits', requestId, `${durationMilliseconds} ms at ${box}`)]
     : [];
 }
 
@@ -109,16 +126,19 @@
   return !isPlanned;
 }
 
-/** A planned stop ends in time, and with exit code 0. */
-function checkStops({stops, troubles}: SoakFacts): readonly Violation[] {
+/** A planned stop must end in time and with exit code 0. */
+function checkStops({
+  stops,
+  troubles: disruptions,
+}: SoakFacts): readonly Violation[] {
   return (
     stops
-      // Before its first line runs, a process ends by the signal itself.
+      // A process without a signal handler yet is ended by the signal itself.
       .filter(({exitCode, wasKilled}) =>
         exitCode === null ? wasKilled : exitCode !== 0,
       )
       .filter(({box, signalledAt, exitedAt}) =>
-        isCalm(troubles, box, signalledAt, exitedAt, isUnplanned),
+        isCalm(disruptions, box, signalledAt, exitedAt, isUnplanned),
       )
       .map(({box, exitCode}) =>
         broken('planned stops', box, `exit code ${String(exitCode)}`),
@@ -126,27 +146,40 @@
   );
 }
 
-/** A planned stop breaks no connection off under a call. */
+/** A planned stop must not break the connection of a call in progress. */
 function checkLosses(
-  {calls, troubles}: SoakFacts,
+  {calls, troubles: disruptions}: SoakFacts,
   runs: ReadonlyMap<string, number>,
-  {contactMilliseconds, lossMilliseconds}: SoakBounds,
+  {
+    contactMilliseconds: settleMilliseconds,
+    lossMilliseconds: stopRaceMilliseconds,
+  }: SoakBounds,
 ): readonly Violation[] {
   return calls
     .filter(({end}) => end.kind === 'broken')
     .filter(({requestId, sentAt, endedAt}) => {
       const hasRun = (runs.get(requestId) ?? 0) > 0;
-      return hasRun || endedAt - sentAt > lossMilliseconds;
+      return hasRun || endedAt - sentAt > stopRaceMilliseconds;
     })
     .filter(({box, sentAt, endedAt}) =>
-      isCalm(troubles, box, sentAt - contactMilliseconds, endedAt, isUnplanned),
+      isCalm(
+        disruptions,
+        box,
+        sentAt - settleMilliseconds,
+        endedAt,
+        isUnplanned,
+      ),
     )
     .map(({requestId, box, sentAt, endedAt}) =>
-      broken('nothing lost', requestId, `${box}, ${endedAt - sentAt} ms`),
+      broken(
+        'no lost calls',
+        requestId,
+        `connection to ${box} broke after ${endedAt - sentAt} ms`,
+      ),
     );
 }
 
-/** After its drain was acknowledged, an upstream soon gets nothing more. */
+/** Calls must stop arriving within the limit after an acknowledged drain. */
 function checkDrains(
   {drains, arrivals}: SoakFacts,
   {drainMilliseconds}: SoakBounds,
@@ -159,30 +192,43 @@
           arrival.at > acknowledgedAt + drainMilliseconds,
       )
       .map(({requestId, at}) =>
-        broken('drains', requestId, `${lifetime}, ${at - acknowledgedAt} ms`),
+        broken(
+          'drains',
+          requestId,
+          `reached ${lifetime} ${at - acknowledgedAt} ms after the drain`,
+        ),
       ),
   );
 }
 
-/** Once all is well again, calls are served, and by every upstream. */
+/** In steady state, calls must be served and every upstream must get some. */
 function checkRecovery({
   calls,
   arrivals,
-  calmFrom,
+  calmFrom: steadyStateFrom,
   readyLifetimes,
 }: SoakFacts): readonly Violation[] {
-  const last = calls.filter(({sentAt}) => sentAt >= calmFrom);
-  const served = last.filter(({end}) => isServed(end));
+  const finalCalls = calls.filter(({sentAt}) => sentAt >= steadyStateFrom);
+  const served = finalCalls.filter(({end}) => isServed(end));
   const idle = readyLifetimes.filter(
     (lifetime) =>
       !arrivals.some(
-        (item) => item.lifetime === lifetime && item.at > calmFrom,
+        (item) => item.lifetime === lifetime && item.at > steadyStateFrom,
       ),
   );
   return [
-    ...(served.length < last.length * SERVED_AT_LAST || last.length === 0
-      ? [broken('recovery', 'all', `${served.length} of ${last.length} served`)]
+    ...(served.length < finalCalls.length * MINIMUM_SERVED_SHARE ||
+    finalCalls.length === 0
+      ? [
+          broken(
+            'recovery',
+            'all',
+            `${served.length} of ${finalCalls.length} served`,
+          ),
+        ]
       : []),
-    ...idle.map((lifetime) => broken('recovery', lifetime, 'gets no calls')),
+    ...idle.map((lifetime) =>
+      broken('recovery', lifetime, 'received no calls'),
+    ),
   ];
 }
--- a/packages/tools/src/soak/checkRetries.ts
+++ b/packages/tools/src/soak/checkRetries.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Whether the fleet kept its budget of retries in every window. */
+/** Checks that the fleet stays within its retry budget in every window. */
 
 import {broken} from './soakFacts.js';
 import type {
@@ -9,7 +9,7 @@
   Violation,
 } from './soakFacts.js';
 
-/** Broken budgets, at most one for each service. */
+/** Returns at most one violation for each service. */
 export function checkRetries(
   {calls, arrivals}: SoakFacts,
   bounds: SoakBounds,
@@ -19,16 +19,18 @@
     const sent = calls
       .filter((call) => call.service === service)
       .map(({sentAt}) => sentAt);
-    const own = arrivals.filter((arrival) => arrival.service === service);
-    const excess = worstExcess(sent, repeats(own), bounds);
+    const serviceArrivals = arrivals.filter(
+      (arrival) => arrival.service === service,
+    );
+    const excess = findExcess(sent, repeatTimes(serviceArrivals), bounds);
     return excess === undefined
       ? []
       : [broken('retry budget', service, excess)];
   });
 }
 
-/** When requests reached an upstream a second time or later. */
-function repeats(arrivals: readonly ArrivalFact[]): readonly number[] {
+/** Times at which requests reached an upstream again. */
+function repeatTimes(arrivals: readonly ArrivalFact[]): readonly number[] {
   const seen = new Set<string>();
   const times: number[] = [];
   for (const {requestId, at} of [...arrivals].sort((a, b) => a.at - b.at)) {
@@ -40,8 +42,8 @@
   return times;
 }
 
-/** Looks at each window that ends with a repeat. */
-function worstExcess(
+/** Checks each window that ends with a retry; returns the first excess. */
+function findExcess(
   sent: readonly number[],
   repeated: readonly number[],
   {retryRatio, retryExtra, retryWindowMilliseconds}: SoakBounds,
@@ -52,7 +54,7 @@
     const count = repeated.filter(inWindow).length;
     const limit = sent.filter(inWindow).length * retryRatio + retryExtra;
     if (count > limit) {
-      return `${count} repeats in a window, of ${limit.toFixed(1)}`;
+      return `${count} retries in a window, allowed ${limit.toFixed(1)}`;
     }
   }
   return undefined;
--- a/packages/tools/src/soak/faultPlan.ts
+++ b/packages/tools/src/soak/faultPlan.ts
@@ -1,20 +1,20 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** What goes wrong in a soak, and when: a pure function of the seed. */
+/** Generates the fault schedule of a soak deterministically from the seed. */
 
 import {seededRandom} from '@lockpin/utils';
 import type {RandomSource} from '@lockpin/types';
 import type {StoreMood, UpstreamMood} from '@lockpin/platform-stand-ins';
 import type {LinkFault} from './linkProxy.js';
 
-/** Which connections of a box a fault is on. */
+/** The connections of a box that link faults can affect. */
 export type LinkName = 'peers' | 'store' | 'upstream';
 
-/** One thing that is done, at a time from the start of the faults. */
+/** A scheduled fault; `at` is in milliseconds from the start of the faults. */
 export type PlannedFault = {readonly at: number} & (
   | {readonly kind: 'kill'; readonly box: number; readonly downFor: number}
   | {readonly kind: 'stop'; readonly box: number; readonly downFor: number}
   | {readonly kind: 'pause'; readonly box: number; readonly lasts: number}
-  /** The settings file changes; a signal may or may not tell. */
+  /** Changes the settings file, with or without a signal to the node. */
   | {readonly kind: 'reload'; readonly box: number; readonly signals: boolean}
   | {
       readonly kind: 'link';
@@ -25,7 +25,7 @@
     }
   | {readonly kind: 'store'; readonly mood: StoreMood; readonly lasts: number}
   | {readonly kind: 'store-forgets'}
-  /** It is away for a time and comes back as it was longer ago. */
+  /** The store is unavailable, then comes back from an older copy. */
   | {
       readonly kind: 'store-restored';
       readonly awayFor: number;
@@ -38,19 +38,19 @@
       readonly share: number;
       readonly lasts: number;
     }
-  /** Its upstream drains and leaves; another lifetime takes its place. */
+  /** The upstream drains and leaves; one with a new id replaces it. */
   | {readonly kind: 'replace-upstream'; readonly box: number}
-  /** Its upstream is gone without a word; another lifetime takes its place. */
+  /** The upstream disappears without notice; one with a new id replaces it. */
   | {readonly kind: 'crash-upstream'; readonly box: number}
-  /** Its upstream is gone; a process that starts anew takes up its id. */
+  /** The upstream disappears; a new process reuses its id. */
   | {readonly kind: 'restart-upstream'; readonly box: number}
-  /** Another writer speaks in its upstream's name. */
+  /** Another writer sends an announcement in the upstream's name. */
   | {
       readonly kind: 'other-announcement';
       readonly box: number;
       readonly fields: object;
     }
-  /** Another writer puts something in the place of a box's record. */
+  /** Another writer overwrites the record of a box. */
   | {
       readonly kind: 'other-record';
       readonly box: number;
@@ -60,40 +60,40 @@
 );
 
 /**
- * Which faults are played. Seeds that were kept before there were further ones go on
- * without them, so that they show what they showed: the second set has restarts under the
- * same id and other writers, the third restores of the store.
+ * Which faults are drawn. `second` adds restarts under the same id and invalid
+ * writes by others to `first`; `all` adds store restores. A regression seed
+ * keeps the set that it was recorded with, and so replays the same schedule.
  */
 export type FaultSet = 'first' | 'second' | 'all';
 
-/** How long and how large a soak is. */
+/** Duration, fleet size and fault set of a soak. */
 export interface SoakSize {
   readonly faults: FaultSet;
   readonly boxes: number;
-  /** Time in which faults begin, in milliseconds. */
+  /** Period in which faults begin, in milliseconds. */
   readonly faultMilliseconds: number;
 }
 
-/** Mean time between faults; each lasts longer than that, so that they overlap. */
+/** Mean time between faults; most last longer, so that they overlap. */
 const MEAN_GAP_MILLISECONDS = 500;
 
-/** Times of single faults; most are nearer to the shortest. */
+/** Fault durations, with a distribution skewed towards the shortest. */
 const SHORTEST_FAULT_MILLISECONDS = 300;
 const LONGEST_FAULT_MILLISECONDS = 4000;
 
-/** Delays of a bad link, up to this. */
+/** Maximum delay of a delayed link. */
 const LONGEST_DELAY_MILLISECONDS = 300;
 
-/** Steps of a series of stops, kills or configurations. */
-const MOST_IN_SERIES = 4;
+/** Maximum number of repetitions when a fault occurs in a series. */
+const MAXIMUM_SERIES_LENGTH = 4;
 
-/** Time between the steps of a series. */
+/** Time between the repetitions of a series. */
 const SERIES_GAP_MILLISECONDS = 350;
 
-/** A bad upstream is so for this share of its requests at the least. */
-const LEAST_MOOD_SHARE = 0.2;
+/** Minimum share of the requests that a faulty upstream mishandles. */
+const MINIMUM_AFFECTED_SHARE = 0.2;
 
-const STORE_MOODS: readonly StoreMood[] = [
+const STORE_MODES: readonly StoreMood[] = [
   'busy',
   'silent',
   'slow',
@@ -101,7 +101,7 @@
   'done-late',
 ];
 
-const UPSTREAM_MOODS: readonly UpstreamMood[] = [
+const UPSTREAM_MODES: readonly UpstreamMood[] = [
   'errors',
   'resets',
   'sheds',
@@ -113,71 +113,86 @@
 
 const LINKS: readonly LinkName[] = ['peers', 'store', 'upstream'];
 
-/** Draws the faults that begin at a time: one, or a series. */
+/** Draws the fault, or series of faults, that begins at a given time. */
 type DrawFault = (
   random: RandomSource,
   at: number,
   boxes: number,
 ) => readonly PlannedFault[];
 
-/** Each is as likely as the others; some come in series. */
-const DRAWS: readonly DrawFault[] = [
+/** The `first` fault set; all entries are equally likely. */
+const BASE_DRAWS: readonly DrawFault[] = [
   (random, at, boxes) =>
     inSeries(random, at, (time) => ({
       at: time,
       kind: 'kill',
-      box: pick(random, boxes),
-      downFor: span(random),
+      box: randomIndex(random, boxes),
+      downFor: randomDuration(random),
     })),
   (random, at, boxes) =>
     inSeries(random, at, (time) => ({
       at: time,
       kind: 'stop',
-      box: pick(random, boxes),
-      downFor: span(random) / 2,
+      box: randomIndex(random, boxes),
+      downFor: randomDuration(random) / 2,
     })),
   (random, at, boxes) => [
-    {at, kind: 'pause', box: pick(random, boxes), lasts: span(random)},
+    {
+      at,
+      kind: 'pause',
+      box: randomIndex(random, boxes),
+      lasts: randomDuration(random),
+    },
   ],
   (random, at, boxes) => [
-    {at, kind: 'reload', box: pick(random, boxes), signals: random() < 0.5},
+    {
+      at,
+      kind: 'reload',
+      box: randomIndex(random, boxes),
+      signals: random() < 0.5,
+    },
   ],
   (random, at, boxes) => [
     {
       at,
       kind: 'link',
-      box: pick(random, boxes),
-      link: oneOf(random, LINKS),
+      box: randomIndex(random, boxes),
+      link: randomItem(random, LINKS),
       fault: drawLinkFault(random),
-      lasts: span(random),
+      lasts: randomDuration(random),
     },
   ],
   (random, at) => [
-    {at, kind: 'store', mood: oneOf(random, STORE_MOODS), lasts: span(random)},
+    {
+      at,
+      kind: 'store',
+      mood: randomItem(random, STORE_MODES),
+      lasts: randomDuration(random),
+    },
   ],
   (_random, at) => [{at, kind: 'store-forgets'}],
   (random, at, boxes) => [
     {
       at,
       kind: 'upstream',
-      box: pick(random, boxes),
-      mood: oneOf(random, UPSTREAM_MOODS),
-      share: LEAST_MOOD_SHARE + (1 - LEAST_MOOD_SHARE) * random(),
-      lasts: span(random),
+      box: randomIndex(random, boxes),
+      mood: randomItem(random, UPSTREAM_MODES),
+      share: MINIMUM_AFFECTED_SHARE + (1 - MINIMUM_AFFECTED_SHARE) * random(),
+      lasts: randomDuration(random),
     },
   ],
   (random, at, boxes) => [
-    {at, kind: 'replace-upstream', box: pick(random, boxes)},
+    {at, kind: 'replace-upstream', box: randomIndex(random, boxes)},
   ],
   (random, at, boxes) => [
-    {at, kind: 'crash-upstream', box: pick(random, boxes)},
+    {at, kind: 'crash-upstream', box: randomIndex(random, boxes)},
   ],
   (random, at) =>
     inSeries(random, at, (time) => ({at: time, kind: 'configure'})),
 ];
 
-/** What other writers say of an upstream. */
-const OTHER_FIELDS: readonly object[] = [
+/** Invalid fields of announcements by other writers. */
+const INVALID_ANNOUNCEMENT_FIELDS: readonly object[] = [
   {State: 'zombie'},
   {State: undefined},
   {Slots: -1},
@@ -188,8 +203,8 @@
   {born: 9e15},
 ];
 
-/** What other writers put in the place of a record; times years ahead among it. */
-const OTHER_VALUES: readonly string[] = [
+/** Invalid records by other writers, including one stated far in the future. */
+const INVALID_RECORD_VALUES: readonly string[] = [
   '',
   '?',
   'null',
@@ -198,70 +213,75 @@
   '{"box":"box-1","statedAt":9e15}',
 ];
 
-/** Faults that came later; drawn apart, so that the others stay as they were. */
-const LATER_DRAWS: readonly DrawFault[] = [
+/**
+ * Faults that the `second` set adds. They are drawn from a separate random
+ * sequence so that the schedule of the `first` set does not change.
+ */
+const SECOND_SET_DRAWS: readonly DrawFault[] = [
   (random, at, boxes) =>
     inSeries(random, at, (time) => ({
       at: time,
       kind: 'restart-upstream',
-      box: pick(random, boxes),
+      box: randomIndex(random, boxes),
     })),
   (random, at, boxes) => [
     {
       at,
       kind: 'other-announcement',
-      box: pick(random, boxes),
-      fields: oneOf(random, OTHER_FIELDS),
+      box: randomIndex(random, boxes),
+      fields: randomItem(random, INVALID_ANNOUNCEMENT_FIELDS),
     },
   ],
   (random, at, boxes) => [
     {
       at,
       kind: 'other-record',
-      box: pick(random, boxes),
-      value: oneOf(random, OTHER_VALUES),
+      box: randomIndex(random, boxes),
+      value: randomItem(random, INVALID_RECORD_VALUES),
     },
   ],
 ];
 
-/** The store comes back from a copy, once or several times. */
+/** Faults that the `all` set adds, drawn separately for the same reason. */
 const RESTORE_DRAWS: readonly DrawFault[] = [
   (random, at) =>
     inSeries(random, at, (time) => ({
       at: time,
       kind: 'store-restored',
-      awayFor: span(random) / 4,
-      lost: span(random),
+      awayFor: randomDuration(random) / 4,
+      lost: randomDuration(random),
     })),
 ];
 
-/** Far from other seeds, so that the plans of one seed differ. */
-const LATER_SEED_OFFSET = 7_777_777;
+/** Large offsets, so that the fault sets of one seed use distinct sequences. */
+const SECOND_SET_SEED_OFFSET = 7_777_777;
 const RESTORE_SEED_OFFSET = 15_555_557;
 
-/** A restore comes this many times less often than other faults. */
-const RESTORE_RARITY = 4;
+/** Restores are this many times less frequent than other faults. */
+const RESTORE_GAP_FACTOR = 4;
 
-/** The faults of a seed, in the order of their times. */
+/** Returns the faults of a seed, ordered by time. */
 export function planFaults(
   seed: number,
   size: SoakSize,
 ): readonly PlannedFault[] {
-  const first = drawFaults(seed, size, DRAWS);
-  const later =
+  const baseFaults = drawFaults(seed, size, BASE_DRAWS);
+  const secondSetFaults =
     size.faults === 'first'
       ? []
-      : drawFaults(seed + LATER_SEED_OFFSET, size, LATER_DRAWS);
+      : drawFaults(seed + SECOND_SET_SEED_OFFSET, size, SECOND_SET_DRAWS);
   const restores =
     size.faults === 'all'
       ? drawFaults(
           seed + RESTORE_SEED_OFFSET,
           size,
           RESTORE_DRAWS,
-          RESTORE_RARITY * MEAN_GAP_MILLISECONDS,
+          RESTORE_GAP_FACTOR * MEAN_GAP_MILLISECONDS,
         )
       : [];
-  return [...first, ...later, ...restores].sort((a, b) => a.at - b.at);
+  return [...baseFaults, ...secondSetFaults, ...restores].sort(
+    (a, b) => a.at - b.at,
+  );
 }
 
 function drawFaults(
@@ -274,26 +294,27 @@
   const faults: PlannedFault[] = [];
   let at = 0;
   while (at < faultMilliseconds) {
-    faults.push(...oneOf(random, draws)(random, Math.round(at), boxes));
+    faults.push(...randomItem(random, draws)(random, Math.round(at), boxes));
     at += 2 * meanGap * random();
   }
   return faults;
 }
 
-/** A single step half of the time, else two or more. */
+/** Draws a single fault with probability 0.5, otherwise two or more. */
 function inSeries(
   random: RandomSource,
   at: number,
   draw: (at: number) => PlannedFault,
 ): readonly PlannedFault[] {
-  const count = random() < 0.5 ? 1 : 2 + pick(random, MOST_IN_SERIES - 1);
+  const count =
+    random() < 0.5 ? 1 : 2 + randomIndex(random, MAXIMUM_SERIES_LENGTH - 1);
   return Array.from({length: count}, (_, i) =>
     draw(at + i * SERIES_GAP_MILLISECONDS),
   );
 }
 
 function drawLinkFault(random: RandomSource): LinkFault {
-  const kind = oneOf(random, [
+  const kind = randomItem(random, [
     'delayed',
     'silent',
     'answers-cut',
@@ -304,15 +325,15 @@
     : {kind};
 }
 
-function span(random: RandomSource): number {
+function randomDuration(random: RandomSource): number {
   const range = LONGEST_FAULT_MILLISECONDS - SHORTEST_FAULT_MILLISECONDS;
   return Math.round(SHORTEST_FAULT_MILLISECONDS + range * random() ** 2);
 }
 
-function pick(random: RandomSource, count: number): number {
+function randomIndex(random: RandomSource, count: number): number {
   return Math.floor(random() * count);
 }
 
-function oneOf<T>(random: RandomSource, items: readonly T[]): T {
-  return items[pick(random, items.length)] as T;
+function randomItem<T>(random: RandomSource, items: readonly T[]): T {
+  return items[randomIndex(random, items.length)] as T;
 }
--- a/packages/tools/src/soak/linkProxy.ts
+++ b/packages/tools/src/soak/linkProxy.ts
@@ -1,24 +1,24 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** A TCP forwarder on loopback that can be told to misbehave. */
+/** A TCP proxy on loopback with fault injection. */
 
 import {connect, createServer} from 'node:net';
 import type {AddressInfo, Server, Socket} from 'node:net';
 import {parseAddress} from '@lockpin/utils';
 import {LOOPBACK} from '../harness/ports.js';
 
-/** What a link does to the bytes on it. */
+/** A fault of a link. */
 export type LinkFault =
   | {readonly kind: 'none'}
-  /** Every piece arrives this much later. */
+  /** Every chunk is delayed by this time. */
   | {readonly kind: 'delayed'; readonly milliseconds: number}
-  /** Nothing arrives on the other side until the link heals. */
+  /** No data passes in either direction until the fault is cleared. */
   | {readonly kind: 'silent'}
-  /** Requests arrive, and their answers do not until the link heals. */
+  /** Requests pass; answers are held back until the fault is cleared. */
   | {readonly kind: 'answers-cut'}
-  /** Open connections are reset, and so are new ones. */
+  /** Open and new connections are reset. */
   | {readonly kind: 'resetting'};
 
-/** A link in order. */
+/** A link without a fault. */
 export const HEALTHY_LINK: LinkFault = {kind: 'none'};
 
 /** One direction of one connection. */
@@ -26,12 +26,12 @@
   readonly from: Socket;
   readonly to: Socket;
   readonly isAnswers: boolean;
-  readonly held: Buffer[];
-  /** The sender has ended; passed on after what is held. */
+  readonly buffered: Buffer[];
+  /** The sender has ended its side; forwarded after the buffered data. */
   hasEnded: boolean;
 }
 
-/** Forwards connections to one address. */
+/** Forwards connections to a target address. */
 export class LinkProxy {
   private fault: LinkFault = HEALTHY_LINK;
   private readonly directions = new Set<Direction>();
@@ -54,18 +54,18 @@
     this.server.close();
   }
 
-  /** New connections go to this address from here on. */
+  /** Sets the target of new connections. */
   retarget(target: string): void {
     this.target = target;
   }
 
-  /** Begins to misbehave in this way, or to work again. */
+  /** Sets the current fault, or clears it with HEALTHY_LINK. */
   setFault(fault: LinkFault): void {
     this.fault = fault;
     if (fault.kind === 'resetting') {
       this.resetAll();
     }
-    this.directions.forEach((direction) => this.release(direction));
+    this.directions.forEach((direction) => this.flush(direction));
   }
 
   private accept(caller: Socket): void {
@@ -75,51 +75,51 @@
     }
     const address = parseAddress(this.target);
     if (address === undefined) {
-      throw new Error(`${this.target} is no address`);
+      throw new Error(`invalid link target address: ${this.target}`);
     }
     const callee = connect({...address, noDelay: true, allowHalfOpen: true});
     caller.setNoDelay(true);
-    this.join(caller, callee, false);
-    this.join(callee, caller, true);
+    this.forward(caller, callee, false);
+    this.forward(callee, caller, true);
   }
 
-  private join(from: Socket, to: Socket, isAnswers: boolean): void {
+  private forward(from: Socket, to: Socket, isAnswers: boolean): void {
     const direction: Direction = {
       from,
       to,
       isAnswers,
-      held: [],
+      buffered: [],
       hasEnded: false,
     };
     this.directions.add(direction);
-    from.on('data', (bytes: Buffer) => this.pass(direction, bytes));
+    from.on('data', (bytes: Buffer) => this.receive(direction, bytes));
     from.on('end', () => {
       direction.hasEnded = true;
-      this.release(direction);
+      this.flush(direction);
     });
-    // A reset of one side is a reset of the other.
+    // Propagates a reset of one side to the other.
     from.on('error', () => reset(to));
     from.on('close', () => this.directions.delete(direction));
   }
 
-  private pass(direction: Direction, bytes: Buffer): void {
+  private receive(direction: Direction, bytes: Buffer): void {
     if (this.fault.kind === 'delayed') {
       const {milliseconds} = this.fault;
       setTimeout(() => this.write(direction, bytes), milliseconds);
       return;
     }
-    direction.held.push(bytes);
-    this.release(direction);
+    direction.buffered.push(bytes);
+    this.flush(direction);
   }
 
-  /** Passes on what is held, unless the link holds it back. */
-  private release(direction: Direction): void {
-    const {isAnswers, held, to} = direction;
+  /** Forwards buffered data unless the current fault holds it back. */
+  private flush(direction: Direction): void {
+    const {isAnswers, buffered, to} = direction;
     const {kind} = this.fault;
     if (kind === 'silent' || (kind === 'answers-cut' && isAnswers)) {
       return;
     }
-    held.splice(0).forEach((bytes) => this.write(direction, bytes));
+    buffered.splice(0).forEach((bytes) => this.write(direction, bytes));
     if (direction.hasEnded) {
       to.end();
     }
@@ -137,7 +137,7 @@
   }
 }
 
-/** A socket that is not open has nothing to reset, and would never close. */
+/** A socket that is not open cannot be reset and would never close. */
 function reset(socket: Socket): void {
   if (socket.readyState === 'open') {
     socket.resetAndDestroy();
--- a/packages/tools/src/soak/main.ts
+++ b/packages/tools/src/soak/main.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** `npm run soak`: real nodes under faults, checked by what callers and upstreams see. */
+/** `npm run soak`: runs real nodes under faults and checks their guarantees. */
 
 import {readdirSync, rmSync} from 'node:fs';
 import {join} from 'node:path';
@@ -12,7 +12,7 @@
 
 const ROOT = fileURLToPath(new URL('../../../..', import.meta.url));
 
-/** Seeds that failed once, each with a line on the cause. */
+/** Seeds of earlier failures, one file each, with a line on the cause. */
 const REGRESSIONS = join(ROOT, 'soak', 'regressions');
 
 const LARGEST_SEED = 2 ** 31;
@@ -48,17 +48,17 @@
   .strict()
   .parse();
 
-/** A seed, and which of the faults it draws are played. */
+/** A seed and the fault set that it is run with. */
 type SoakSeed = Pick<SoakSize, 'faults'> & {readonly seed: number};
 
-/** What stands behind the number of a kept seed, for the faults that it was kept with. */
+/** Fault sets by the suffix in the file name of a regression seed. */
 const FAULT_SETS: Readonly<Record<string, FaultSet>> = {
   '': 'first',
   '-all': 'second',
   '-restores': 'all',
 };
 
-function keptSeeds(): readonly SoakSeed[] {
+function readRegressionSeeds(): readonly SoakSeed[] {
   return readdirSync(REGRESSIONS).flatMap((name): readonly SoakSeed[] => {
     const match = /^(\d+)(-[a-z]+)?\.txt$/.exec(name);
     const faults = FAULT_SETS[match?.[2] ?? ''];
@@ -68,56 +68,64 @@
   });
 }
 
-function freshSeeds(count: number): readonly SoakSeed[] {
+function randomSeeds(count: number): readonly SoakSeed[] {
   return Array.from({length: count}, () => ({
     seed: Math.floor(Math.random() * LARGEST_SEED),
     faults: 'all',
   }));
 }
 
-function show({seed, calls, served, faults, violations}: SoakResult): void {
-  const verdict = violations.length === 0 ? 'kept' : 'BROKEN';
+function printResult({
+  seed,
+  calls,
+  served,
+  faults,
+  violations,
+}: SoakResult): void {
+  const verdict = violations.length === 0 ? 'passed' : 'FAILED';
   console.log(
     `seed ${seed}: ${faults} faults, ${served} of ${calls} calls served, ${verdict}`,
   );
-  violations.forEach(({promise, subject, detail}) =>
-    console.log(`  ${promise}: ${subject}: ${detail}`),
+  violations.forEach(({promise: guarantee, subject, detail}) =>
+    console.log(`  ${guarantee}: ${subject}: ${detail}`),
   );
 }
 
-const given = (options.seed ?? []).map((seed): SoakSeed => ({
+const requestedSeeds = (options.seed ?? []).map((seed): SoakSeed => ({
   seed,
   faults: 'all',
 }));
-const kept = options.regressions ? keptSeeds() : [];
-const chosen = [...given, ...kept];
-const waiting =
-  chosen.length > 0 ? [...chosen] : [...freshSeeds(options.seeds)];
+const regressionSeeds = options.regressions ? readRegressionSeeds() : [];
+const selectedSeeds = [...requestedSeeds, ...regressionSeeds];
+const queue =
+  selectedSeeds.length > 0
+    ? [...selectedSeeds]
+    : [...randomSeeds(options.seeds)];
 const size = {
   boxes: options.boxes,
   faultMilliseconds: options.seconds * 1000,
 };
-const failed: number[] = [];
+const failedSeeds: number[] = [];
 
-async function work(): Promise<void> {
-  for (let next = waiting.shift(); next !== undefined; next = waiting.shift()) {
+async function runWorker(): Promise<void> {
+  for (let next = queue.shift(); next !== undefined; next = queue.shift()) {
     const {seed, faults} = next;
     const folder = join(ROOT, 'artifacts', 'soak', String(seed));
     const result = await runSoak(seed, {...size, faults}, folder);
-    show(result);
+    printResult(result);
     if (result.violations.length > 0) {
-      failed.push(seed);
+      failedSeeds.push(seed);
     } else {
       rmSync(folder, {recursive: true});
     }
   }
 }
 
-await Promise.all(Array.from({length: options.jobs}, work));
-if (failed.length > 0) {
-  console.log(`failed: ${failed.join(' ')}; logs under artifacts/soak`);
+await Promise.all(Array.from({length: options.jobs}, runWorker));
+if (failedSeeds.length > 0) {
+  console.log(`failed: ${failedSeeds.join(' ')}; logs under artifacts/soak`);
   console.log(
-    `replay: npm run soak -- --seed ${failed[0]}; keep it under ${REGRESSIONS}`,
+    `replay: npm run soak -- --seed ${failedSeeds[0]}; save it under ${REGRESSIONS}`,
   );
 }
-process.exitCode = failed.length > 0 ? 1 : 0;
+process.exitCode = failedSeeds.length > 0 ? 1 : 0;
--- a/packages/tools/src/soak/runSoak.ts
+++ b/packages/tools/src/soak/runSoak.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** One soak: a fleet of real processes, callers, faults, a calm end, checks. */
+/** Runs one soak: a fleet and callers under faults, then the checks. */
 
 import {mkdirSync} from 'node:fs';
 import {setTimeout as pause} from 'node:timers/promises';
@@ -19,7 +19,7 @@
 import {SoakStore} from './soakStore.js';
 import {watchVersions} from './versionWatch.js';
 
-/** What the nodes' settings promise, and what callers may expect. */
+/** The limits that the checks allow, in line with the nodes' settings. */
 export const SOAK_BOUNDS: SoakBounds = {
   drainMilliseconds: 1000,
   applyMilliseconds: 2000,
@@ -34,13 +34,13 @@
 
 const CALLERS_PER_BOX = 3;
 
-/** From the end of the last fault until all must be well again. */
+/** Time for the fleet to recover after the last fault. */
 const RECOVERY_MILLISECONDS = 9000;
 
-/** The last phase, in which all must be well. */
-const CALM_MILLISECONDS = 2500;
+/** Duration of the final phase, in which the fleet must be healthy. */
+const STEADY_STATE_MILLISECONDS = 2500;
 
-/** What one soak came to. */
+/** Result of one soak. */
 export interface SoakResult {
   readonly seed: number;
   readonly calls: number;
@@ -49,7 +49,7 @@
   readonly violations: readonly Violation[];
 }
 
-/** Runs one seed; settings and logs of its nodes go into a folder. */
+/** Runs one seed; writes the settings and logs of its nodes to the folder. */
 export async function runSoak(
   seed: number,
   size: SoakSize,
@@ -62,25 +62,25 @@
   const boxes = await startBoxes(seed, size, folder, storeAddress, recorder);
   let isOver = false;
   const callers = startCallers(seed, boxes, store, recorder, () => isOver);
-  await until(() => hasBeenServed(recorder, boxes));
+  await until(() => isEveryBoxServed(recorder, boxes));
   const faults = planFaults(seed, size);
-  await applyAll(faults, (fault) =>
+  await applyOnSchedule(faults, (fault) =>
     applyFault({boxes, store, recorder}, fault),
   );
   await pause(RECOVERY_MILLISECONDS);
-  const calmFrom = Date.now();
-  await pause(CALM_MILLISECONDS);
+  const steadyStateFrom = Date.now();
+  await pause(STEADY_STATE_MILLISECONDS);
   isOver = true;
   await Promise.all(callers);
-  const facts = recorder.facts(boxes, calmFrom);
+  const history = recorder.facts(boxes, steadyStateFrom);
   await Promise.all(boxes.map((box) => box.end()));
   store.stop();
   return {
     seed,
-    calls: facts.calls.length,
-    served: facts.calls.filter(({end}) => isServed(end)).length,
+    calls: history.calls.length,
+    served: history.calls.filter(({end}) => isServed(end)).length,
     faults: faults.length,
-    violations: checkFacts(facts, SOAK_BOUNDS, answerBody),
+    violations: checkFacts(history, SOAK_BOUNDS, answerBody),
   };
 }
 
@@ -119,8 +119,8 @@
   recorder: SoakRecorder,
   isOver: () => boolean,
 ): readonly Promise<void>[] {
-  let serial = 0;
-  const nextId = (): string => `q${seed}-${(serial += 1)}`;
+  let requestNumber = 0;
+  const nextId = (): string => `q${seed}-${(requestNumber += 1)}`;
   return boxes.flatMap((box, index) => [
     ...Array.from({length: CALLERS_PER_BOX}, (_, i) =>
       keepCalling(
@@ -138,8 +138,8 @@
   ]);
 }
 
-/** Applies each at its time; resolves when all are over. */
-async function applyAll<T extends {readonly at: number}>(
+/** Applies each item at its scheduled time; resolves when all have ended. */
+async function applyOnSchedule<T extends {readonly at: number}>(
   items: readonly T[],
   apply: (item: T) => Promise<void>,
 ): Promise<void> {
@@ -151,7 +151,7 @@
   );
 }
 
-function hasBeenServed(
+function isEveryBoxServed(
   {calls}: SoakRecorder,
   boxes: readonly SoakBox[],
 ): boolean {
--- a/packages/tools/src/soak/soakBox.ts
+++ b/packages/tools/src/soak/soakBox.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** A box of a soak: a node's process, its links, and the upstreams beside it. */
+/** A box of a soak: its node process, links and upstreams. */
 
 import {writeFileSync} from 'node:fs';
 import {join} from 'node:path';
@@ -16,10 +16,10 @@
 import {SOAK_SERVICES} from './soakConfiguration.js';
 import type {DrainFact, ExitFact, SoakBounds} from './soakFacts.js';
 
-/** Boxes are in these in turn. */
-const DATA_CENTRES = 2;
+/** Boxes are assigned to data centres round-robin. */
+const DATA_CENTRE_COUNT = 2;
 
-/** Where a box listens. */
+/** Addresses on which the node of a box listens. */
 export interface BoxAddresses {
   readonly caller: string;
   readonly peer: string;
@@ -27,22 +27,22 @@
   readonly announcements: string;
 }
 
-/** What a box is started with. */
+/** Options of a box. */
 export interface SoakBoxOptions {
   readonly index: number;
   readonly addresses: BoxAddresses;
   readonly storeAddress: string;
-  /** For settings and logs. */
+  /** Folder for settings and logs. */
   readonly folder: string;
   readonly random: RandomSource;
   readonly bounds: SoakBounds;
-  /** Arguments of the runtime; the bundle as it is built when absent. */
+  /** Arguments of the Node.js runtime; by default, the built bundle. */
   readonly command?: readonly string[];
   readonly onDrained: (drain: DrainFact) => void;
   readonly onUnaskedExit: (exit: ExitFact) => void;
 }
 
-/** Lives as long as the soak; its process may be started many times. */
+/** Exists for the whole soak, across restarts of its process. */
 export class SoakBox {
   readonly name: string;
   readonly process: BoxProcess;
@@ -83,7 +83,7 @@
     void this.upstreams.keepAnnouncing();
   }
 
-  /** Ends everything that the box started. */
+  /** Stops everything that the box started. */
   async end(): Promise<void> {
     this.isOver = true;
     await this.process.end();
@@ -91,11 +91,11 @@
     this.upstreams.stop();
   }
 
-  /** Changes the settings file; a signal may or may not tell the node. */
-  reload(signals: boolean): void {
+  /** Changes the settings file, with or without a signal to the node. */
+  reload(sendsSignal: boolean): void {
     this.reloads += 1;
     this.writeSettings();
-    if (signals) {
+    if (sendsSignal) {
       this.process.hangUp();
     }
   }
@@ -137,7 +137,7 @@
     const {index, addresses, bounds} = this.options;
     return {
       box: this.name,
-      dataCentre: `d${(index % DATA_CENTRES) + 1}`,
+      dataCentre: `d${(index % DATA_CENTRE_COUNT) + 1}`,
       service: this.service,
       peerAddress: addresses.peer,
       callerAddress: addresses.caller,
--- a/packages/tools/src/soak/soakCaller.ts
+++ b/packages/tools/src/soak/soakCaller.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** A caller on a box: keeps its connection as long as the node does. */
+/** A caller on a box, which reuses its connection until the node closes it. */
 
 import {Agent, request as httpRequest} from 'node:http';
 import type {IncomingMessage} from 'node:http';
@@ -11,16 +11,16 @@
 import type {SoakRoute} from './soakConfiguration.js';
 import type {CallEnd, CallFact} from './soakFacts.js';
 
-/** Mean time between the calls of one caller. */
+/** Mean pause between the calls of one caller. */
 const MEAN_PAUSE_MILLISECONDS = 70;
 
-/** A node that took no connection is asked again after this. */
-const RECONNECT_MILLISECONDS = 100;
+/** Delay before the next call when the node refused the connection. */
+const RECONNECT_DELAY_MILLISECONDS = 100;
 
-/** A caller gives a node up this long after the time of its call is over. */
-const PATIENCE_MILLISECONDS = 8000;
+/** Time after the deadline of a call at which the caller aborts it. */
+const ABORT_GRACE_MILLISECONDS = 8000;
 
-/** What a request is. */
+/** A request to a node; `remaining` is its timeout in milliseconds. */
 export interface SoakRequest {
   readonly path: string;
   readonly method: string;
@@ -28,7 +28,7 @@
   readonly remaining: number;
 }
 
-/** Sends one request to a node; never fails. */
+/** Sends one request to a node; never rejects. */
 export function sendRequest(
   agent: Agent,
   address: string,
@@ -37,7 +37,7 @@
   return new Promise((resolve) => {
     let hadBegun = false;
     let wasConnected = false;
-    const isBroken = (): void =>
+    const resolveBroken = (): void =>
       resolve(
         wasConnected ? {kind: 'broken', hadBegun} : {kind: 'not-connected'},
       );
@@ -48,12 +48,14 @@
         path,
         method,
         headers: requestHeaders(SOAK_HOST, requestId, remaining),
-        signal: AbortSignal.timeout(remaining + PATIENCE_MILLISECONDS),
+        signal: AbortSignal.timeout(remaining + ABORT_GRACE_MILLISECONDS),
       },
       (response) => {
         hadBegun = true;
-        response.on('error', isBroken);
-        void readAnswer(response).then((end) => resolve(end ?? brokenOff()));
+        response.on('error', resolveBroken);
+        void readAnswer(response).then((end) =>
+          resolve(end ?? interruptedAnswer()),
+        );
       },
     );
     request.on('socket', (socket) => {
@@ -62,12 +64,12 @@
         socket.once('connect', () => (wasConnected = true));
       }
     });
-    request.on('error', isBroken);
+    request.on('error', resolveBroken);
     request.end(method === 'POST' ? `body of ${requestId}` : undefined);
   });
 }
 
-/** The whole answer; undefined when it broke off. */
+/** Reads the complete answer; undefined when the connection broke. */
 async function readAnswer(
   response: IncomingMessage,
 ): Promise<CallEnd | undefined> {
@@ -77,7 +79,7 @@
       chunks.push(chunk);
     }
   } catch {
-    // Any failure here is the connection's; the caller records it as broken.
+    // Only the connection can fail here; the call is recorded as broken.
     return undefined;
   }
   if (!response.complete) {
@@ -92,11 +94,11 @@
   };
 }
 
-function brokenOff(): CallEnd {
+function interruptedAnswer(): CallEnd {
   return {kind: 'broken', hadBegun: true};
 }
 
-/** Where a caller is, and who is told of its calls. */
+/** Options of a caller. */
 export interface CallerPlace {
   readonly box: string;
   readonly address: string;
@@ -105,26 +107,26 @@
   readonly record: (call: CallFact) => void;
 }
 
-/** Calls again and again until it is told to stop. */
+/** Sends calls one after another until the soak is over. */
 export async function keepCalling(
-  place: CallerPlace,
+  options: CallerPlace,
   isOver: () => boolean,
 ): Promise<void> {
   const agent = new Agent({keepAlive: true, maxSockets: 1});
   while (!isOver()) {
-    const end = await callOnce(place, agent);
-    const isAway = end.kind === 'not-connected';
+    const end = await callOnce(options, agent);
+    const isUnreachable = end.kind === 'not-connected';
     await pause(
-      isAway
-        ? RECONNECT_MILLISECONDS
-        : 2 * MEAN_PAUSE_MILLISECONDS * place.random(),
+      isUnreachable
+        ? RECONNECT_DELAY_MILLISECONDS
+        : 2 * MEAN_PAUSE_MILLISECONDS * options.random(),
     );
   }
   agent.destroy();
 }
 
-async function callOnce(place: CallerPlace, agent: Agent): Promise<CallEnd> {
-  const {box, address, random, nextId, record} = place;
+async function callOnce(options: CallerPlace, agent: Agent): Promise<CallEnd> {
+  const {box, address, random, nextId, record} = options;
   const routes = soakRoutes();
   const route = routes[Math.floor(random() * routes.length)] as SoakRoute;
   const {service, isRepeatable, pathPrefix, timeoutMilliseconds} = route;
--- a/packages/tools/src/soak/soakConfiguration.ts
+++ b/packages/tools/src/soak/soakConfiguration.ts
@@ -1,16 +1,16 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** The services and routes of a soak, and how each version differs. */
+/** Generates the configuration versions of a soak. */
 
 import {configurationText} from '@lockpin/platform-stand-ins';
 import type {StandInRoute} from '@lockpin/platform-stand-ins';
 
-/** All routes are of this host. */
+/** The host of all routes. */
 export const SOAK_HOST = 'soak.example';
 
-/** The services; boxes have their upstreams in turn. */
+/** The services, assigned to boxes round-robin. */
 export const SOAK_SERVICES = ['shop', 'desk'] as const;
 
-/** A route that is there in every version. */
+/** A route that exists in every version. */
 export interface SoakRoute {
   readonly name: string;
   readonly service: string;
@@ -19,10 +19,10 @@
   readonly timeoutMilliseconds: number;
 }
 
-/** Calls that hang are answered at the limit of their route, so it is short. */
+/** Short, since calls that hang are answered only at this timeout. */
 const TIMEOUT_MILLISECONDS = 1200;
 
-/** The routes that callers use. */
+/** Returns the routes that callers use. */
 export function soakRoutes(): readonly SoakRoute[] {
   return SOAK_SERVICES.flatMap((service) => [
     route(service, 'look', true),
@@ -30,12 +30,12 @@
   ]);
 }
 
-/** The path of the route that exists in one version only. */
+/** Returns the path of the marker route, which exists in one version only. */
 export function markerPath(version: number): string {
   return `/marker-${version}/`;
 }
 
-/** The document of a version. */
+/** Returns the configuration document of a version. */
 export function soakConfiguration(version: number): string {
   const marker: StandInRoute = {
     name: `marker-${version}`,
--- a/packages/tools/src/soak/soakFacts.ts
+++ b/packages/tools/src/soak/soakFacts.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** What callers, upstreams and operators of a soak saw. All times are in milliseconds. */
+/** The history of a soak, for the checks. All times are in milliseconds. */
 
 /** How a request ended for its caller. */
 export type CallEnd =
@@ -8,103 +8,103 @@
       readonly status: number;
       readonly saysNotRun: boolean;
       readonly hasProof: boolean;
-      /** The request that the answer says it belongs to. */
+      /** Id of the request that the answer states. */
       readonly requestId: string | undefined;
       readonly body: string;
     }
-  /** The connection ended before a whole answer. */
+  /** The connection ended before the answer was complete. */
   | {readonly kind: 'broken'; readonly hadBegun: boolean}
-  /** The node took no connection. */
+  /** The connection to the node could not be opened. */
   | {readonly kind: 'not-connected'};
 
-/** The status of an answer to a request that was served. */
+/** Status of the answer to a served request. */
 const SERVED_STATUS = 200;
 
-/** Whether a request was answered as its caller wanted. */
+/** Whether a request was served successfully. */
 export function isServed(end: CallEnd): boolean {
   return end.kind === 'answered' && end.status === SERVED_STATUS;
 }
 
-/** One request. */
+/** One call, as its caller saw it. */
 export interface CallFact {
   readonly requestId: string;
   readonly box: string;
   readonly service: string;
   readonly isRepeatable: boolean;
-  /** The longest that the route lets it be held. */
+  /** Timeout of the route. */
   readonly timeoutMilliseconds: number;
   readonly sentAt: number;
   readonly endedAt: number;
   readonly end: CallEnd;
 }
 
-/** One run of a request at an upstream. */
+/** One execution of a request at an upstream. */
 export interface RunFact {
   readonly requestId: string;
   readonly lifetime: string;
   readonly at: number;
 }
 
-/** A request that reached an upstream, whether it was run or not. */
+/** A request that reached an upstream, executed or not. */
 export interface ArrivalFact extends RunFact {
   readonly service: string;
 }
 
-/** A node acknowledged that an upstream drains or is gone. */
+/** Acknowledgement by a node that an upstream is draining or gone. */
 export interface DrainFact {
   readonly lifetime: string;
   readonly box: string;
   readonly acknowledgedAt: number;
 }
 
-/** A question for the route that exists in one version only. */
+/** A request for the marker route of a version. */
 export interface MarkerFact {
   readonly box: string;
-  /** Counts the starts of the box's process. */
+  /** Number of starts of the box's process, which identifies the process. */
   readonly life: number;
   readonly version: number;
   readonly sentAt: number;
   readonly endedAt: number;
-  /** Whether the node knew the route; undefined when it did not answer. */
+  /** Whether the node knew the route; undefined without a usable answer. */
   readonly isKnown: boolean | undefined;
 }
 
-/** The store confirmed a version. */
+/** Confirmation of a version by the store. */
 export interface VersionFact {
   readonly version: number;
   readonly confirmedAt: number;
 }
 
-/** What was done to a box or to the store. */
+/** A fault or planned operation that affected a box or the store. */
 export interface TroubleFact {
-  /** Empty for the store, which concerns all. */
+  /** Empty for the store, which affects all boxes. */
   readonly box: string;
-  /** Planned stops are promised to lose nothing. */
+  /** Planned operations are guaranteed to lose no call. */
   readonly isPlanned: boolean;
   readonly what: string;
   readonly from: number;
-  /** Infinity while it lasts. */
+  /** Infinity until it ends. */
   until: number;
 }
 
-/** A planned stop of a node's process. */
+/** A planned stop of a node process. */
 export interface StopFact {
   readonly box: string;
   readonly signalledAt: number;
   readonly exitedAt: number;
   readonly exitCode: number | null;
-  /** Its time to stop was over, and it was killed. */
+  /** The node exceeded the stop limit and was killed. */
   readonly wasKilled: boolean;
 }
 
-/** A node's process ended though nobody had asked it to. */
+/** An unexpected exit of a node process. */
 export interface ExitFact {
   readonly box: string;
   readonly at: number;
   readonly exitCode: number | null;
 }
 
-/** All that is checked. */
+/** Everything that the checks use. */
 export interface SoakFacts {
   readonly calls: readonly CallFact[];
   readonly runs: readonly RunFact[];
@@ -115,43 +115,43 @@
   readonly troubles: readonly TroubleFact[];
   readonly stops: readonly StopFact[];
   readonly unasked: readonly ExitFact[];
-  /** When all troubles were over and the last phase began. */
+  /** Start of the final phase, after all disruptions have ended. */
   readonly calmFrom: number;
-  /** Upstreams that took work throughout the last phase. */
+  /** Upstreams that were ready at the end of the soak. */
   readonly readyLifetimes: readonly string[];
 }
 
-/** What the system promises, as in the nodes' settings. */
+/** Limits of the guarantees, in line with the nodes' settings. */
 export interface SoakBounds {
-  /** After an acknowledgement, a leaving upstream gets nothing more. */
+  /** Time after the acknowledgement of a drain for calls to stop arriving. */
   readonly drainMilliseconds: number;
-  /** From a version's confirmation until it is in force. */
+  /** Time from the confirmation of a version until it is in force. */
   readonly applyMilliseconds: number;
-  /** After a version was seen, how long an older one may still be met. */
+  /** Time for which an older version may be observed after a newer one. */
   readonly rollbackMilliseconds: number;
-  /** Before a moment, how long a box must have been untroubled to be bound. */
+  /** Time without disruption after which the guarantees hold for a box. */
   readonly contactMilliseconds: number;
-  /** A request cut by a planned stop is lost unless it was sent this shortly before. */
+  /** A broken call that did not run is lost only if it lasted longer. */
   readonly lossMilliseconds: number;
-  /** After a route's time limit, how late the final answer may be. */
+  /** Tolerance for the final answer after the route's timeout. */
   readonly lateMilliseconds: number;
   readonly retryRatio: number;
   readonly retryWindowMilliseconds: number;
   readonly retryExtra: number;
 }
 
-/** A promise that was broken. */
+/** A violated guarantee. */
 export interface Violation {
   readonly promise: string;
   readonly subject: string;
   readonly detail: string;
 }
 
-/** Names a broken promise. */
+/** Creates a violation. */
 export function broken(
-  promise: string,
+  guarantee: string,
   subject: string,
   detail: string,
 ): Violation {
-  return {promise, subject, detail};
+  return {promise: guarantee, subject, detail};
 }
--- a/packages/tools/src/soak/soakRecorder.ts
+++ b/packages/tools/src/soak/soakRecorder.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Gathers what was seen and done in a soak. */
+/** Records the history of a soak. */
 
 import type {SoakBox} from './soakBox.js';
 import type {
@@ -13,7 +13,7 @@
   VersionFact,
 } from './soakFacts.js';
 
-/** Lives as long as one soak. */
+/** Collects calls, probes, disruptions and exits of one soak. */
 export class SoakRecorder {
   readonly calls: CallFact[] = [];
   readonly drains: DrainFact[] = [];
@@ -23,60 +23,60 @@
   readonly unasked: ExitFact[] = [];
   private readonly stops: StopFact[] = [];
 
-  /** Notes from when to when something is done. */
+  /** Records a disruption and the time span of the given action. */
   async trouble(
     box: string,
     isPlanned: boolean,
     what: string,
-    act: () => Promise<void>,
+    action: () => Promise<void>,
   ): Promise<void> {
     const from = Date.now();
-    const fact: TroubleFact = {
+    const disruption: TroubleFact = {
       box,
       isPlanned,
       what,
       from,
       until: Number.POSITIVE_INFINITY,
     };
-    this.troubles.push(fact);
-    await act();
-    fact.until = Date.now();
+    this.troubles.push(disruption);
+    await action();
+    disruption.until = Date.now();
   }
 
-  /** A planned stop is over; undefined when there was nothing to stop. */
+  /** Records a planned stop; undefined when the node was not running. */
   stopped(stop: StopFact | undefined): void {
     if (stop !== undefined) {
       this.stops.push(stop);
     }
   }
 
-  /** All that there is to check. */
-  facts(boxes: readonly SoakBox[], calmFrom: number): SoakFacts {
-    const lives = boxes.flatMap(({upstreams}) => upstreams.all);
-    const ofLives = <
+  /** Returns the history for the checks. */
+  facts(boxes: readonly SoakBox[], steadyStateFrom: number): SoakFacts {
+    const instances = boxes.flatMap(({upstreams}) => upstreams.all);
+    const collect = <
       T extends {readonly requestId: string; readonly at: number},
     >(
-      read: (life: (typeof lives)[number]) => readonly T[],
+      select: (instance: (typeof instances)[number]) => readonly T[],
     ): readonly (T & {readonly lifetime: string; readonly service: string})[] =>
-      lives.flatMap((life) =>
-        read(life).map((item) => ({
+      instances.flatMap((instance) =>
+        select(instance).map((item) => ({
           ...item,
-          lifetime: life.process,
-          service: life.service,
+          lifetime: instance.process,
+          service: instance.service,
         })),
       );
     return {
       calls: this.calls,
-      runs: ofLives(({standIn}) => standIn.runs),
-      arrivals: ofLives(({standIn}) => standIn.arrivals),
+      runs: collect(({standIn}) => standIn.runs),
+      arrivals: collect(({standIn}) => standIn.arrivals),
       drains: this.drains,
       markers: this.markers,
       versions: this.versions,
       troubles: this.troubles,
       stops: this.stops,
       unasked: this.unasked,
-      calmFrom,
-      readyLifetimes: lives
+      calmFrom: steadyStateFrom,
+      readyLifetimes: instances
         .filter(({state}) => state === 'ready')
         .map(({process}) => process),
     };
--- a/packages/tools/src/soak/soakStore.ts
+++ b/packages/tools/src/soak/soakStore.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** The store of a soak, and the operator who writes versions into it. */
+/** The store of a soak and its operator, who writes configuration versions. */
 
 import {setTimeout as pause} from 'node:timers/promises';
 import {
@@ -12,20 +12,20 @@
 import {soakConfiguration} from './soakConfiguration.js';
 import type {VersionFact} from './soakFacts.js';
 
-/** Operators notice a restore, and write again. */
-const REWRITE_MILLISECONDS = 300;
+/** Delay until the operator rewrites the configuration after a restore. */
+const REWRITE_DELAY_MILLISECONDS = 300;
 
-/** Operators reach the store whatever it does to the boxes. */
+/** Operator writes succeed whatever faults the boxes see. */
 export class SoakStore {
   private readonly standIn = new StoreStandIn();
-  private newest = 0;
-  private readonly moods: StoreMood[] = [];
+  private newestVersion = 0;
+  private readonly activeModes: StoreMood[] = [];
 
   constructor(private readonly onVersion: (version: VersionFact) => void) {}
 
-  /** The version that was written last. */
+  /** The last version written. */
   get version(): number {
-    return this.newest;
+    return this.newestVersion;
   }
 
   async start(): Promise<string> {
@@ -38,38 +38,41 @@
     this.standIn.stop();
   }
 
-  /** Writes the next version. */
+  /** Writes the next configuration version. */
   configure(): void {
-    this.newest += 1;
-    const text = soakConfiguration(this.newest);
+    this.newestVersion += 1;
+    const text = soakConfiguration(this.newestVersion);
     this.standIn.put(CONFIGURATION_TOPIC, CONFIGURATION_KEY, text);
-    this.onVersion({version: this.newest, confirmedAt: Date.now()});
+    this.onVersion({version: this.newestVersion, confirmedAt: Date.now()});
   }
 
-  /** Behaves in a way for a time; of several ways the last that began counts. */
-  async misbehave(mood: StoreMood, milliseconds: number): Promise<void> {
-    this.moods.push(mood);
-    this.standIn.mood = mood;
+  /** Applies a fault mode for a time; of several, the latest takes effect. */
+  async misbehave(mode: StoreMood, milliseconds: number): Promise<void> {
+    this.activeModes.push(mode);
+    this.standIn.mood = mode;
     await pause(milliseconds);
-    this.moods.splice(this.moods.indexOf(mood), 1);
-    this.standIn.mood = this.moods.at(-1) ?? 'well';
+    this.activeModes.splice(this.activeModes.indexOf(mode), 1);
+    this.standIn.mood = this.activeModes.at(-1) ?? 'well';
   }
 
-  /** Comes back from a copy; operators write again what it has lost. */
-  async restore(awayFor: number, lostMilliseconds: number): Promise<void> {
-    await this.misbehave('silent', awayFor);
-    this.standIn.restore(lostMilliseconds + awayFor);
-    await pause(REWRITE_MILLISECONDS);
-    const text = soakConfiguration(this.newest);
+  /** Restores an older copy; the operator then rewrites the configuration. */
+  async restore(
+    unavailableMilliseconds: number,
+    lostMilliseconds: number,
+  ): Promise<void> {
+    await this.misbehave('silent', unavailableMilliseconds);
+    this.standIn.restore(lostMilliseconds + unavailableMilliseconds);
+    await pause(REWRITE_DELAY_MILLISECONDS);
+    const text = soakConfiguration(this.newestVersion);
     this.standIn.put(CONFIGURATION_TOPIC, CONFIGURATION_KEY, text);
   }
 
-  /** Another writer puts something in the place of a box's record. */
+  /** Overwrites the record of a box as another writer would. */
   writeOther(box: string, value: string): void {
     this.standIn.put(BOXES_TOPIC, box, value);
   }
 
-  /** All history is gone; the newest record of each key stays. */
+  /** Drops all history except the newest record of each key. */
   forget(): void {
     this.standIn.forgetHistory();
   }
--- a/packages/tools/src/soak/versionWatch.ts
+++ b/packages/tools/src/soak/versionWatch.ts
@@ -1,5 +1,5 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
-/** Asks the boxes of a soak which versions they know. */
+/** Probes which configuration versions the boxes of a soak have in force. */
 
 import {Agent} from 'node:http';
 import {setTimeout as pause} from 'node:timers/promises';
@@ -9,41 +9,41 @@
 import type {CallEnd} from './soakFacts.js';
 import type {SoakRecorder} from './soakRecorder.js';
 
-/** Each box is asked for the newest route and the one before this often. */
-const MARKER_MILLISECONDS = 300;
+/** Interval of probes for the two newest versions. */
+const PROBE_INTERVAL_MILLISECONDS = 300;
 
-/** A node that knows no such route says so; any other answer knows it. */
+/** Status for an unknown route; any other answer means it is known. */
 const UNKNOWN_ROUTE_STATUS = 404;
 
-/** A node that knows no configuration yet cannot tell. */
+/** Status of a node without a configuration, which leaves the probe open. */
 const NOT_READY_STATUS = 503;
 
-/** Whom to ask, and who is told. */
+/** Options of the version probes of one box. */
 export interface VersionWatch {
   readonly box: SoakBox;
-  /** The version that was written last. */
+  /** The last version written. */
   readonly newest: () => number;
   readonly recorder: SoakRecorder;
   readonly nextId: () => string;
 }
 
-/** Asks a box again and again, until it is told to stop. */
+/** Probes a box periodically until the soak is over. */
 export async function watchVersions(
-  watch: VersionWatch,
+  options: VersionWatch,
   isOver: () => boolean,
 ): Promise<void> {
   const agent = new Agent({keepAlive: false});
   while (!isOver()) {
-    const newest = watch.newest();
+    const newest = options.newest();
     const versions = [newest, newest - 1];
     await Promise.all(
-      versions.map((version) => askForVersion(watch, agent, version)),
+      versions.map((version) => probeVersion(options, agent, version)),
     );
-    await pause(MARKER_MILLISECONDS);
+    await pause(PROBE_INTERVAL_MILLISECONDS);
   }
 }
 
-async function askForVersion(
+async function probeVersion(
   {box, recorder, nextId}: VersionWatch,
   agent: Agent,
   version: number,
@@ -59,16 +59,16 @@
     remaining: timeoutMilliseconds,
   });
   const isKnown = knowsRoute(end);
-  const asked = {box: box.name, sentAt, endedAt: Date.now()};
-  // The process may have ended and started while it was asked.
+  const probe = {box: box.name, sentAt, endedAt: Date.now()};
+  // Discards the probe if the process restarted in the meantime.
   if (life === box.process.life) {
-    recorder.markers.push({...asked, life, version, isKnown});
+    recorder.markers.push({...probe, life, version, isKnown});
   }
   if (isKnown === false) {
     return;
   }
   recorder.calls.push({
-    ...asked,
+    ...probe,
     requestId,
     service: SOAK_SERVICES[0],
     isRepeatable: true,
@@ -77,7 +77,7 @@
   });
 }
 
-/** Undefined where the answer does not tell. */
+/** Whether the node knows the route; undefined if the answer does not tell. */
 function knowsRoute(end: CallEnd): boolean | undefined {
   const isAnswer = end.kind === 'answered' && end.status !== NOT_READY_STATUS;
   return isAnswer ? end.status !== UNKNOWN_ROUTE_STATUS : undefined;
