--- a/packages/limits/src/__tests__/__fixtures__/otherWays.ts
+++ b/packages/limits/src/__tests__/__fixtures__/alternativeLimiters.ts
@@ -5,16 +5,16 @@
  */
 
 import {seededRandom} from '@lockpin/utils';
-import {mostInWindow, tokenCapacity} from '../../rateLimit.js';
+import {maximumInWindow, tokenCapacity} from '../../rateLimit.js';
 import type {LimitRules} from '../../rateLimit.js';
-import type {PlayedCustomer} from './limitWorld.js';
+import type {SimulatedCustomer} from './limitSimulation.js';
 
 /** Outcomes of a customer's calls. */
-export interface WayResult {
+export interface LimiterResult {
   /** Share of the calls that were refused. */
   readonly refused: number;
   /** Calls of the fullest window, relative to what the rules allow. */
-  readonly fullest: number;
+  readonly peakWindowUse: number;
 }
 
 interface Arrival {
@@ -27,11 +27,11 @@
  * capacity.
  */
 export function equalShares(
-  customer: PlayedCustomer,
+  customer: SimulatedCustomer,
   rules: LimitRules,
   boxes: number,
   seed: number,
-): WayResult {
+): LimiterResult {
   const {limit} = customer;
   const capacity = tokenCapacity(limit, rules) / boxes;
   const perMillisecond = limit.callsPerSecond / 1000 / boxes;
@@ -47,12 +47,12 @@
 }
 
 /** Delayed counting: all boxes know the calls admitted until a while ago. */
-export function countingAfter(
-  customer: PlayedCustomer,
+export function delayedCounting(
+  customer: SimulatedCustomer,
   rules: LimitRules,
   delayMilliseconds: number,
   seed: number,
-): WayResult {
+): LimiterResult {
   const {callsPerSecond, burst} = customer.limit;
   const {windowMilliseconds} = rules;
   const allowed = (callsPerSecond * windowMilliseconds) / 1000 + burst;
@@ -73,11 +73,11 @@
 const SIMULATED_MILLISECONDS = 20_000;
 
 function simulate(
-  customer: PlayedCustomer,
+  customer: SimulatedCustomer,
   rules: LimitRules,
   seed: number,
   isAdmitted: (arrival: Arrival) => boolean,
-): WayResult {
+): LimiterResult {
   const random = seededRandom(seed);
   const admitted: number[] = [];
   let calls = 0;
@@ -89,10 +89,10 @@
       admitted.push(at);
     }
   }
-  const maximumCount = fullestWindow(admitted, rules.windowMilliseconds);
+  const maximumCount = peakWindowCount(admitted, rules.windowMilliseconds);
   return {
     refused: 1 - admitted.length / calls,
-    fullest: maximumCount / mostInWindow(customer.limit, rules),
+    peakWindowUse: maximumCount / maximumInWindow(customer.limit, rules),
   };
 }
 
@@ -100,7 +100,7 @@
  * The largest number of the given ascending times that fall into any window of
  * the given length.
  */
-export function fullestWindow(
+export function peakWindowCount(
   times: readonly number[],
   windowMilliseconds: number,
 ): number {
--- a/packages/limits/src/__tests__/__fixtures__/limitWorld.ts
+++ b/packages/limits/src/__tests__/__fixtures__/limitSimulation.ts
@@ -6,14 +6,14 @@
 
 import type {RandomSource} from '@lockpin/types';
 import {seededRandom} from '@lockpin/utils';
-import {ANSWER_MILLISECONDS, LimitClient} from '../../limitClient.js';
+import {REPLY_TIMEOUT_MILLISECONDS, LimitClient} from '../../limitClient.js';
 import type {Admission, LimitAction} from '../../limitClient.js';
 import type {LimitReply, LimitRequest} from '../../limitMessages.js';
 import type {LimitFleet} from '../../poolLinks.js';
-import {mostInWindow} from '../../rateLimit.js';
+import {maximumInWindow} from '../../rateLimit.js';
 import type {LimitRules, RateLimit} from '../../rateLimit.js';
 import {TokenPool} from '../../tokenPool.js';
-import {fullestWindow} from './otherWays.js';
+import {peakWindowCount} from './alternativeLimiters.js';
 
 const TICK_MILLISECONDS = 200;
 
@@ -21,7 +21,7 @@
 const START_TIME = 1_000_000;
 
 /** The limit and the load of one customer. */
-export interface PlayedCustomer {
+export interface SimulatedCustomer {
   readonly name: string;
   readonly limit: RateLimit;
   readonly callsPerSecond: number;
@@ -70,7 +70,7 @@
 }
 
 /** Simulates calls against real pools and clients. */
-export class LimitWorld {
+export class LimitSimulation {
   readonly rules: LimitRules = {
     windowMilliseconds: 5000,
     overage: 0.1,
@@ -99,7 +99,7 @@
   }
 
   /** Starts the calls of a customer, for the given time. */
-  calls(customer: PlayedCustomer, milliseconds: number): void {
+  startCalls(customer: SimulatedCustomer, milliseconds: number): void {
     this.limits.set(customer.name, customer.limit);
     this.tally(customer.name);
     const callerBoxes = [...this.boxes]
@@ -118,7 +118,7 @@
     next();
   }
 
-  limit(customer: string, limit: RateLimit): void {
+  setLimit(customer: string, limit: RateLimit): void {
     this.limits.set(customer, limit);
     this.boxes.forEach(({client}) => client.limitChanged(customer));
   }
@@ -144,7 +144,7 @@
    * Sets the time of day of a box forwards, which looks like a suspension
    * there.
    */
-  setForwards(box: Box, milliseconds: number): void {
+  stepClock(box: Box, milliseconds: number): void {
     box.clockOffset += milliseconds;
     box.client.clockGained(milliseconds);
     box.pool.clockGained(milliseconds);
@@ -177,10 +177,10 @@
   }
 
   /** Calls of the fullest window, relative to the bound. */
-  fullest(customer: string, limit: RateLimit, since = 0): number {
+  peakWindowUse(customer: string, limit: RateLimit, since = 0): number {
     const times = this.tally(customer).admittedAt.filter((at) => at >= since);
-    const maximumCount = fullestWindow(times, this.rules.windowMilliseconds);
-    return maximumCount / mostInWindow(limit, this.rules);
+    const maximumCount = peakWindowCount(times, this.rules.windowMilliseconds);
+    return maximumCount / maximumInWindow(limit, this.rules);
   }
 
   private createBox(name: string): Box {
@@ -224,7 +224,7 @@
     this.waiting.set(callId, customer);
     this.performActions(
       box,
-      box.client.arrived(this.nowAt(box), callId, customer),
+      box.client.callArrived(this.nowAt(box), callId, customer),
     );
     tally.waited += this.waiting.has(callId) ? 1 : 0;
   }
@@ -264,25 +264,25 @@
     from.messages += 1;
     const {generation} = from;
     if (request.draws.length > 0) {
-      this.schedule(ANSWER_MILLISECONDS, () => {
+      this.schedule(REPLY_TIMEOUT_MILLISECONDS, () => {
         if (from.generation === generation && from.isUp) {
-          this.performActions(from, from.client.expire(this.nowAt(from)));
+          this.performActions(from, from.client.expireDraws(this.nowAt(from)));
         }
       });
     }
     const pool = this.boxes.find(({name}) => name === to) as Box;
     this.deliver(from, pool, pool.generation, () => {
-      const reply = pool.pool.answer(this.nowAt(pool), request);
+      const reply = pool.pool.handleRequest(this.nowAt(pool), request);
       this.deliver(pool, from, generation, () => this.heard(from, reply));
     });
   }
 
   private heard(box: Box, reply: LimitReply): void {
-    this.performActions(box, box.client.replied(this.nowAt(box), reply));
+    this.performActions(box, box.client.replyReceived(this.nowAt(box), reply));
   }
 
   /** Delivers held messages whose link works again. */
-  flush(): void {
+  deliverHeld(): void {
     const held = this.held;
     this.held = [];
     held.forEach(({from, to, generation, run}) =>
--- a/packages/limits/src/__tests__/clockGained.test.ts
+++ b/packages/limits/src/__tests__/clockGained.test.ts
@@ -7,11 +7,11 @@
 import {describe, expect, it} from 'vitest';
 import {PoolLinks} from '../poolLinks.js';
 import {
-  LOAN_MILLISECONDS,
-  STOCK_MILLISECONDS,
+  LOAN_DURATION_MILLISECONDS,
+  STOCK_LIFETIME_MILLISECONDS,
   TokenPool,
 } from '../tokenPool.js';
-import {PoolSet, poolsAmong} from '../poolPlacement.js';
+import {PoolSet, selectPools} from '../poolPlacement.js';
 import type {Draw} from '../limitMessages.js';
 
 const CUSTOMER = 'customer';
@@ -23,7 +23,8 @@
 const NOW = 1_000_000;
 
 /** Shorter than a loan, longer than tokens stay in a local stock. */
-const JUMP_MILLISECONDS = (LOAN_MILLISECONDS + STOCK_MILLISECONDS) / 2;
+const JUMP_MILLISECONDS =
+  (LOAN_DURATION_MILLISECONDS + STOCK_LIFETIME_MILLISECONDS) / 2;
 
 const PROCESS = 1;
 
@@ -51,7 +52,7 @@
   draws: readonly Draw[],
 ): number {
   const pools = new PoolSet([POOL]);
-  const reply = pool.answer(now, {
+  const reply = pool.handleRequest(now, {
     kind: 'limit-request',
     box,
     loan: {
@@ -119,24 +120,24 @@
   const links = new PoolLinks('lender');
   const boxes = ['a', 'b', 'c', 'lender'];
   const fleet = {boxes: boxes.length, candidates: boxes};
-  const names = poolsAmong(boxes);
+  const names = selectPools(boxes);
   const receiveReply = (now: number, box: string): void => {
     const moment = {process: PROCESS, at: now};
-    const {digest} = links.inUse;
+    const {digest} = links.activePools;
     const reply = {box, moment, poolsDigest: digest, lacksPools: false};
-    links.heard(now, {kind: 'limit-reply', ...reply, grants: []});
+    links.replyReceived(now, {kind: 'limit-reply', ...reply, grants: []});
   };
   for (let i = 0; i < 4; i += 1) {
     links.tick(NOW + i * 1000, fleet);
     names.forEach((name) => receiveReply(NOW + i * 1000, name));
   }
   const now = NOW + 4000;
-  links.wasSilent(names[0] ?? '');
+  links.markUnresponsive(names[0] ?? '');
   if (isTold) {
-    links.clockGained(2 * LOAN_MILLISECONDS);
+    links.clockGained(2 * LOAN_DURATION_MILLISECONDS);
   }
-  links.tick(now + 2 * LOAN_MILLISECONDS, fleet);
-  return links.inUse.names.length;
+  links.tick(now + 2 * LOAN_DURATION_MILLISECONDS, fleet);
+  return links.activePools.names.length;
 }
 
 describe('a lender whose clock jumps ahead', () => {
--- a/packages/limits/src/__tests__/limitWorld.test.ts
+++ b/packages/limits/src/__tests__/limitWorld.test.ts
@@ -3,10 +3,13 @@
 
 import {describe, expect, it} from 'vitest';
 import {seededRandom} from '@lockpin/utils';
-import {poolsAmong} from '../poolPlacement.js';
-import {LimitWorld} from './__fixtures__/limitWorld.js';
-import {countingAfter, equalShares} from './__fixtures__/otherWays.js';
-import type {PlayedCustomer} from './__fixtures__/limitWorld.js';
+import {selectPools} from '../poolPlacement.js';
+import {LimitSimulation} from './__fixtures__/limitSimulation.js';
+import {
+  delayedCounting,
+  equalShares,
+} from './__fixtures__/alternativeLimiters.js';
+import type {SimulatedCustomer} from './__fixtures__/limitSimulation.js';
 
 const BOXES = 93;
 
@@ -14,7 +17,7 @@
  * A customer whose limit is 1.6 times its usual rate; it calls at a multiple of
  * that rate.
  */
-function customer(name: string, usual: number, times = 1): PlayedCustomer {
+function customer(name: string, usual: number, times = 1): SimulatedCustomer {
   const limit = Math.ceil(usual * 1.6);
   return {
     name,
@@ -33,14 +36,17 @@
 /** Time until the first loans have been given and tokens have accrued. */
 const WARM_UP_MILLISECONDS = 3000;
 
-function startSimulation(seed: number, customers: readonly PlayedCustomer[]) {
-  const simulation = new LimitWorld(BOXES, seed);
+function startSimulation(
+  seed: number,
+  customers: readonly SimulatedCustomer[],
+) {
+  const simulation = new LimitSimulation(BOXES, seed);
   simulation.run(WARM_UP_MILLISECONDS);
-  customers.forEach((each) => simulation.calls(each, 20_000));
+  customers.forEach((each) => simulation.startCalls(each, 20_000));
   return simulation;
 }
 
-function refusedShare(simulation: LimitWorld, name: string): number {
+function refusedShare(simulation: LimitSimulation, name: string): number {
   const {called, overLimit, unknown} = simulation.tally(name);
   return (overLimit + unknown) / called;
 }
@@ -51,17 +57,17 @@
     simulation.run(20_000);
     for (const {name, limit} of CUSTOMERS) {
       expect(refusedShare(simulation, name)).toBeLessThan(0.01);
-      expect(simulation.fullest(name, limit)).toBeLessThanOrEqual(1);
+      expect(simulation.peakWindowUse(name, limit)).toBeLessThanOrEqual(1);
     }
   });
 
   it('are served soon after the whole fleet starts', () => {
-    const simulation = new LimitWorld(BOXES, 9);
+    const simulation = new LimitSimulation(BOXES, 9);
     simulation.run(700);
     const customers = [14, 15, 16, 17].map((usual) =>
       customer(`usual ${usual}`, usual),
     );
-    customers.forEach((each) => simulation.calls(each, 2000));
+    customers.forEach((each) => simulation.startCalls(each, 2000));
     simulation.run(2000);
     for (const {name} of customers) {
       expect(refusedShare(simulation, name)).toBeLessThan(0.1);
@@ -88,7 +94,7 @@
   it('are served by a box that has just started', () => {
     const simulation = startSimulation(7, [customer('usual', 14)]);
     simulation.run(4000);
-    const pools = poolsAmong(simulation.boxes.map(({name}) => name));
+    const pools = selectPools(simulation.boxes.map(({name}) => name));
     simulation.boxes
       .slice(0, 46)
       .filter(({name}) => !pools.includes(name))
@@ -109,7 +115,7 @@
       ]);
       simulation.run(20_000);
       const {limit} = flooding;
-      expect(simulation.fullest('usual', limit)).toBeLessThanOrEqual(1);
+      expect(simulation.peakWindowUse('usual', limit)).toBeLessThanOrEqual(1);
       const served = simulation.tally('usual').admittedAt.length / 20;
       expect(served).toBeGreaterThan(limit.callsPerSecond * 0.9);
       expect(refusedShare(simulation, 'large')).toBeLessThan(0.01);
@@ -118,12 +124,12 @@
 });
 
 describe('alternative limiters', () => {
-  const {rules} = new LimitWorld(1, 1);
+  const {rules} = new LimitSimulation(1, 1);
 
   it('refuse allowed calls if each box has an equal share', () => {
     // Typical: 0.17 to 0.20 of the calls of a large customer, all of the
     // others.
-    const [large, usual] = CUSTOMERS as [PlayedCustomer, PlayedCustomer];
+    const [large, usual] = CUSTOMERS as [SimulatedCustomer, SimulatedCustomer];
     expect(equalShares(large, rules, BOXES, 1).refused).toBeGreaterThan(0.1);
     expect(equalShares(usual, rules, BOXES, 1).refused).toBeGreaterThan(0.9);
   });
@@ -132,10 +138,12 @@
     // Typical: 1.03 to 1.12 of the bound with counts that are 0.3 s old, 1.44
     // to 1.60 with 1 s.
     const flooding = customer('usual', 14, 7.5);
-    expect(countingAfter(flooding, rules, 300, 1).fullest).toBeGreaterThan(1);
-    expect(countingAfter(flooding, rules, 1000, 1).fullest).toBeGreaterThan(
-      1.3,
-    );
+    expect(
+      delayedCounting(flooding, rules, 300, 1).peakWindowUse,
+    ).toBeGreaterThan(1);
+    expect(
+      delayedCounting(flooding, rules, 1000, 1).peakWindowUse,
+    ).toBeGreaterThan(1.3);
   });
 });
 
@@ -144,10 +152,12 @@
     const simulation = startSimulation(5, [customer('usual', 14)]);
     simulation.run(8000);
     const lowered = {callsPerSecond: 5, burst: 5};
-    simulation.limit('usual', lowered);
+    simulation.setLimit('usual', lowered);
     const since = simulation.now;
     simulation.run(12_000);
-    expect(simulation.fullest('usual', lowered, since)).toBeLessThanOrEqual(1);
+    expect(
+      simulation.peakWindowUse('usual', lowered, since),
+    ).toBeLessThanOrEqual(1);
   });
 });
 
@@ -155,13 +165,13 @@
   it('costs few calls, since the second pool goes on', () => {
     const simulation = startSimulation(6, CUSTOMERS);
     simulation.run(5000);
-    const [pool] = poolsAmong(simulation.boxes.map(({name}) => name));
+    const [pool] = selectPools(simulation.boxes.map(({name}) => name));
     const box = simulation.boxes.find(({name}) => name === pool);
     simulation.restart(box as (typeof simulation.boxes)[number], 3000);
     simulation.run(15_000);
     for (const {name, limit} of CUSTOMERS) {
       expect(refusedShare(simulation, name)).toBeLessThan(0.05);
-      expect(simulation.fullest(name, limit)).toBeLessThanOrEqual(1);
+      expect(simulation.peakWindowUse(name, limit)).toBeLessThanOrEqual(1);
     }
   });
 });
@@ -176,11 +186,11 @@
       const simulation = startSimulation(seed, [flooding, large]);
       for (let i = 0; i < 10; i += 1) {
         injectFault(simulation, random);
-        simulation.flush();
+        simulation.deliverHeld();
         simulation.run(2000);
       }
       for (const {name, limit} of [flooding, large]) {
-        expect(simulation.fullest(name, limit)).toBeLessThanOrEqual(1);
+        expect(simulation.peakWindowUse(name, limit)).toBeLessThanOrEqual(1);
       }
     },
   );
@@ -191,10 +201,10 @@
  * that stand still during a suspension, thirty seeds kept the limit as well
  * (0.85 of it at most).
  */
-function simulateSuspensions(seed: number): LimitWorld {
+function simulateSuspensions(seed: number): LimitSimulation {
   const random = seededRandom(seed * 104_729);
   const simulation = startSimulation(seed, [customer('usual', 14, 7.5)]);
-  const pools = poolsAmong(simulation.boxes.map(({name}) => name));
+  const pools = selectPools(simulation.boxes.map(({name}) => name));
   for (let i = 0; i < 10; i += 1) {
     if (random() < 0.4) {
       injectFault(simulation, random);
@@ -208,7 +218,7 @@
         );
       }
     }
-    simulation.flush();
+    simulation.deliverHeld();
     simulation.run(2000);
   }
   return simulation;
@@ -220,7 +230,7 @@
     'never let more through, seed %i',
     (seed) => {
       const simulation = simulateSuspensions(seed);
-      expect(simulation.fullest('usual', limit)).toBeLessThanOrEqual(1);
+      expect(simulation.peakWindowUse('usual', limit)).toBeLessThanOrEqual(1);
     },
   );
 });
@@ -229,10 +239,10 @@
  * Plays random faults while the time of day of boxes is set forwards, pools
  * above all.
  */
-function simulateClockSteps(seed: number): LimitWorld {
+function simulateClockSteps(seed: number): LimitSimulation {
   const random = seededRandom(seed * 15_485_863);
   const simulation = startSimulation(seed, [customer('usual', 14, 7.5)]);
-  const pools = poolsAmong(simulation.boxes.map(({name}) => name));
+  const pools = selectPools(simulation.boxes.map(({name}) => name));
   for (let i = 0; i < 10; i += 1) {
     if (random() < 0.4) {
       injectFault(simulation, random);
@@ -241,10 +251,10 @@
       const isChosen = random() < (pools.includes(box.name) ? 0.5 : 0.15);
       if (isChosen) {
         const step = [300, 2000, 60_000][Math.floor(random() * 3)] ?? 0;
-        simulation.setForwards(box, step);
+        simulation.stepClock(box, step);
       }
     }
-    simulation.flush();
+    simulation.deliverHeld();
     simulation.run(2000);
   }
   return simulation;
@@ -256,7 +266,7 @@
     'never let more through, seed %i',
     (seed) => {
       const simulation = simulateClockSteps(seed);
-      expect(simulation.fullest('usual', limit)).toBeLessThanOrEqual(1);
+      expect(simulation.peakWindowUse('usual', limit)).toBeLessThanOrEqual(1);
     },
   );
 
@@ -269,14 +279,14 @@
   it('make no tokens for time that did not pass', () => {
     const peakUse = (step: number): number => {
       const simulation = startSimulation(5, [customer('usual', 14, 7.5)]);
-      const pools = poolsAmong(simulation.boxes.map(({name}) => name));
+      const pools = selectPools(simulation.boxes.map(({name}) => name));
       for (let i = 0; i < 10; i += 1) {
         simulation.boxes
           .filter(({name}) => pools.includes(name))
-          .forEach((box) => simulation.setForwards(box, step));
+          .forEach((box) => simulation.stepClock(box, step));
         simulation.run(2000);
       }
-      return simulation.fullest('usual', limit);
+      return simulation.peakWindowUse('usual', limit);
     };
     expect(peakUse(300)).toBeLessThanOrEqual(peakUse(0));
   });
@@ -286,7 +296,7 @@
  * Restarts boxes, cuts their links one way or both, heals links, or does
  * nothing.
  */
-function injectFault(simulation: LimitWorld, random: () => number): void {
+function injectFault(simulation: LimitSimulation, random: () => number): void {
   const affectedShare = random() * 0.6;
   const chosen = simulation.boxes.filter(() => random() < affectedShare);
   const choice = random();
--- a/packages/limits/src/customerTokens.ts
+++ b/packages/limits/src/customerTokens.ts
@@ -4,7 +4,7 @@
  * one.
  */
 
-import {STOCK_MILLISECONDS} from './tokenPool.js';
+import {STOCK_LIFETIME_MILLISECONDS} from './tokenPool.js';
 
 /**
  * How long a local stock should last; tokens held by one box are missing at
@@ -42,7 +42,7 @@
   private readonly emptyPools = new Map<string, EmptyPool>();
 
   /** Updates the call rate on an incoming call. */
-  called(now: number): void {
+  recordCall(now: number): void {
     const decay = Math.exp(
       -(now - this.calledAt) / RATE_TIME_CONSTANT_MILLISECONDS,
     );
@@ -71,33 +71,33 @@
    * Adds the tokens of a draw sent at the given time; the earlier expiry wins.
    */
   add(askedAt: number, tokens: number): void {
-    const until = askedAt + STOCK_MILLISECONDS;
+    const until = askedAt + STOCK_LIFETIME_MILLISECONDS;
     this.validUntil =
       this.tokens > 0 ? Math.min(this.validUntil, until) : until;
     this.tokens += tokens;
   }
 
   /** Returns the token of a call that did not run. */
-  putBack(now: number): void {
+  returnToken(now: number): void {
     if (now <= this.validUntil) {
       this.tokens += 1;
     }
   }
 
   /** Discards all tokens and what is known of empty pools. */
-  drop(): void {
+  clear(): void {
     this.tokens = 0;
     this.emptyPools.clear();
   }
 
   /** Tokens missing to the target. */
-  missing(now: number): number {
+  deficit(now: number): number {
     return Math.max(0, this.target(now) - this.count(now));
   }
 
   /** Whether the local stock is at most half of its target. */
-  wants(now: number): boolean {
-    return this.count(now) <= this.target(now) / 2 && this.missing(now) > 0;
+  needsRefill(now: number): boolean {
+    return this.count(now) <= this.target(now) / 2 && this.deficit(now) > 0;
   }
 
   /** Tokens above the target. */
@@ -106,7 +106,7 @@
   }
 
   /** Removes the surplus and returns it. */
-  giveBack(now: number): number {
+  takeSurplus(now: number): number {
     const surplus = this.surplus(now);
     this.tokens -= surplus;
     return surplus;
@@ -116,7 +116,7 @@
    * Records that a pool is empty: when to ask it again, and when it will have
    * tokens for all boxes.
    */
-  emptyAt(pool: string, retryAt: number, availableAt: number): void {
+  markEmpty(pool: string, retryAt: number, availableAt: number): void {
     this.emptyPools.set(pool, {retryAt, availableAt});
   }
 
@@ -127,14 +127,14 @@
   /**
    * The earliest time at which one of the pools will have tokens for all boxes.
    */
-  roomAt(pools: readonly string[]): number {
+  earliestAvailability(pools: readonly string[]): number {
     return Math.min(
       ...pools.flatMap((pool) => this.emptyPools.get(pool)?.availableAt ?? []),
     );
   }
 
   /** Whether there is no state worth keeping. */
-  isForgotten(now: number): boolean {
+  isExpired(now: number): boolean {
     const isIdle = now - this.calledAt > IDLE_TIMEOUT_MILLISECONDS;
     return isIdle && this.waiting.length === 0 && this.count(now) === 0;
   }
--- a/packages/limits/src/limitClient.ts
+++ b/packages/limits/src/limitClient.ts
@@ -9,7 +9,7 @@
 import {CustomerTokens} from './customerTokens.js';
 import type {Draw, Grant, LimitReply, LimitRequest} from './limitMessages.js';
 import {PoolLinks} from './poolLinks.js';
-import type {LimitFleet, PoolVisit} from './poolLinks.js';
+import type {LimitFleet, PoolUpdate} from './poolLinks.js';
 
 /** Whether a call is within its customer's limit. */
 export type Admission =
@@ -27,7 +27,7 @@
       readonly request: LimitRequest;
     }
   /** A pool is unresponsive; the connection to it may be dead. */
-  | {readonly kind: 'pool-silent'; readonly box: string}
+  | {readonly kind: 'pool-unresponsive'; readonly box: string}
   | {
       readonly kind: 'decided';
       readonly callId: string;
@@ -38,7 +38,7 @@
  * Time-out of a draw. Pools reply within a few milliseconds; after this the
  * next pool is asked, while the calls can still be served.
  */
-export const ANSWER_MILLISECONDS = 150;
+export const REPLY_TIMEOUT_MILLISECONDS = 150;
 
 /**
  * An empty pool is asked again after this at the latest. Callers are told when
@@ -78,13 +78,13 @@
   }
 
   /** A call of a rate-limited customer arrived; the decision may come later. */
-  arrived(
+  callArrived(
     now: number,
     callId: string,
     customer: string,
   ): readonly LimitAction[] {
     const tokens = this.tokensFor(customer);
-    tokens.called(now);
+    tokens.recordCall(now);
     if (tokens.take(now)) {
       return [decision(callId, ADMITTED)];
     }
@@ -100,22 +100,22 @@
         this.createRequest(update, this.refillDraws(now, update.pool)),
       );
     const unresponsive = this.links
-      .silent(now)
-      .map((box): LimitAction => ({kind: 'pool-silent', box}));
-    return [...this.expire(now), ...unresponsive, ...sends];
+      .newlyUnresponsive(now)
+      .map((box): LimitAction => ({kind: 'pool-unresponsive', box}));
+    return [...this.expireDraws(now), ...unresponsive, ...sends];
   }
 
   /** Retries draws that timed out at the next pool. */
-  expire(now: number): readonly LimitAction[] {
+  expireDraws(now: number): readonly LimitAction[] {
     return [...this.pendingDraws.values()]
-      .filter(({askedAt}) => now - askedAt >= ANSWER_MILLISECONDS)
+      .filter(({askedAt}) => now - askedAt >= REPLY_TIMEOUT_MILLISECONDS)
       .flatMap((draw) => this.drawTimedOut(now, draw));
   }
 
   /** A pool replied. */
-  replied(now: number, reply: LimitReply): readonly LimitAction[] {
+  replyReceived(now: number, reply: LimitReply): readonly LimitAction[] {
     const wasStarting = this.links.isStarting;
-    const loans = this.links.heard(now, reply);
+    const loans = this.links.replyReceived(now, reply);
     const grantActions = reply.grants.flatMap((grant) =>
       this.applyGrant(now, reply.box, grant),
     );
@@ -132,19 +132,19 @@
   }
 
   /** An admitted call did not run and never will: its token is returned. */
-  notRun(now: number, customer: string): void {
-    this.customers.get(customer)?.putBack(now);
+  callNotRun(now: number, customer: string): void {
+    this.customers.get(customer)?.returnToken(now);
   }
 
   /**
    * A limit was changed or removed: tokens drawn under the old one are void.
    */
   limitChanged(customer: string): void {
-    this.customers.get(customer)?.drop();
+    this.customers.get(customer)?.clear();
   }
 
   private createRequest(
-    {pool, loan}: PoolVisit,
+    {pool, loan}: PoolUpdate,
     draws: readonly Draw[],
   ): LimitAction {
     return send(pool, {kind: 'limit-request', box: this.box, loan, draws});
@@ -169,9 +169,9 @@
     if (this.pendingDraws.has(customer) || tokens.waiting.length === 0) {
       return [];
     }
-    const pools = this.links.inUse.of(customer);
+    const pools = this.links.activePools.poolsOf(customer);
     const pool = pools.find(
-      (name) => this.links.answers(name) && !tokens.isEmptyAt(now, name),
+      (name) => this.links.isResponsive(name) && !tokens.isEmptyAt(now, name),
     );
     if (pool === undefined && this.links.isStarting) {
       this.pendingDraws.set(customer, {
@@ -208,12 +208,12 @@
   private refillDraws(now: number, pool: string): readonly Draw[] {
     const draws: Draw[] = [];
     for (const [customer, tokens] of this.customers) {
-      if (tokens.isForgotten(now)) {
+      if (tokens.isExpired(now)) {
         this.customers.delete(customer);
         continue;
       }
-      const first = this.links.inUse.of(customer)[0];
-      const isDue = tokens.wants(now) || tokens.surplus(now) > 0;
+      const first = this.links.activePools.poolsOf(customer)[0];
+      const isDue = tokens.needsRefill(now) || tokens.surplus(now) > 0;
       if (first === pool && isDue && !this.pendingDraws.has(customer)) {
         this.pendingDraws.set(customer, {customer, pool, askedAt: now});
         draws.push(createDraw(now, customer, tokens));
@@ -240,7 +240,7 @@
         retryAfterMilliseconds,
         EMPTY_POOL_RETRY_MILLISECONDS,
       );
-      tokens.emptyAt(
+      tokens.markEmpty(
         pool,
         now + retryMilliseconds,
         now + retryAfterMilliseconds,
@@ -263,7 +263,7 @@
     {customer, pool}: PendingDraw,
   ): readonly LimitAction[] {
     this.pendingDraws.delete(customer);
-    this.links.wasSilent(pool);
+    this.links.markUnresponsive(pool);
     const tokens = this.customers.get(customer);
     return tokens === undefined ? [] : this.draw(now, customer, tokens);
   }
@@ -273,12 +273,12 @@
     customer: string,
     tokens: CustomerTokens,
   ): readonly LimitAction[] {
-    const pools = this.links.inUse.of(customer);
+    const pools = this.links.activePools.poolsOf(customer);
     const isOverLimit = pools.some((pool) => tokens.isEmptyAt(now, pool));
     const admission: Admission = isOverLimit
       ? {
           kind: 'over-limit',
-          retryAfterMilliseconds: tokens.roomAt(pools) - now,
+          retryAfterMilliseconds: tokens.earliestAvailability(pools) - now,
         }
       : {
           kind: 'unknown',
@@ -301,12 +301,12 @@
   customer: string,
   tokens: CustomerTokens,
 ): Draw {
-  const returned = tokens.giveBack(now);
+  const returned = tokens.takeSurplus(now);
   return {
     customer,
     held: tokens.count(now),
     waiting: tokens.waiting.length,
-    stock: tokens.missing(now),
+    stock: tokens.deficit(now),
     returned,
   };
 }
--- a/packages/limits/src/limitMessages.ts
+++ b/packages/limits/src/limitMessages.ts
@@ -2,7 +2,7 @@
 /** Messages between boxes that receive calls and token pools. */
 
 /** A timestamp of a pool's process, as sent by the pool. */
-export interface PoolMoment {
+export interface PoolTimestamp {
   /** Distinguishes processes on one box. */
   readonly process: number;
   /** Milliseconds by the clock of that process. */
@@ -14,7 +14,7 @@
  * the pool.
  */
 export interface Loan {
-  readonly since: PoolMoment;
+  readonly since: PoolTimestamp;
   /** Number of boxes known to the lender; its share is one of them. */
   readonly boxes: number;
   /** The set of pools that the lender's share is divided among, see PoolSet. */
@@ -59,7 +59,7 @@
 export interface LimitReply {
   readonly kind: 'limit-reply';
   readonly box: string;
-  readonly moment: PoolMoment;
+  readonly moment: PoolTimestamp;
   /** Digest of the pool set of the requester's loan; 0 without a loan. */
   readonly poolsDigest: number;
   /** The pool does not know the set behind the digest of the loan. */
--- a/packages/limits/src/poolLinks.ts
+++ b/packages/limits/src/poolLinks.ts
@@ -6,9 +6,9 @@
  * gets its share once the others have confirmed that they gave it up.
  */
 
-import type {LimitReply, Loan, PoolMoment} from './limitMessages.js';
-import {PoolSet, poolsAmong} from './poolPlacement.js';
-import {LOAN_MILLISECONDS} from './tokenPool.js';
+import type {LimitReply, Loan, PoolTimestamp} from './limitMessages.js';
+import {PoolSet, selectPools} from './poolPlacement.js';
+import {LOAN_DURATION_MILLISECONDS} from './tokenPool.js';
 
 /**
  * Interval between loans to a pool; one message may be lost before a loan
@@ -20,7 +20,7 @@
 const REPLY_OVERDUE_MILLISECONDS = 700;
 
 /** A message due to a pool, with a loan if one can be given. */
-export interface PoolVisit {
+export interface PoolUpdate {
   readonly pool: string;
   readonly loan: Loan | undefined;
 }
@@ -34,7 +34,7 @@
 }
 
 interface PoolLink {
-  moment: PoolMoment | undefined;
+  moment: PoolTimestamp | undefined;
   /** Time of the earliest message that has no reply yet. */
   unansweredSince: number | undefined;
   /** The pool may accrue tokens from this box's share until then. */
@@ -67,20 +67,20 @@
   constructor(private readonly box: string) {}
 
   /** The pools that this box's share is divided among. */
-  get inUse(): PoolSet {
+  get activePools(): PoolSet {
     return this.pools;
   }
 
   /** Whether the pool is responsive. */
-  answers(pool: string): boolean {
+  isResponsive(pool: string): boolean {
     return this.links.get(pool)?.isUnresponsive === false;
   }
 
   /** Records a reply. Pools that may now be lent to get a loan at once. */
-  heard(
+  replyReceived(
     now: number,
     {box, moment, poolsDigest, lacksPools}: LimitReply,
-  ): readonly PoolVisit[] {
+  ): readonly PoolUpdate[] {
     const link = this.links.get(box);
     if (link === undefined) {
       return [];
@@ -106,7 +106,7 @@
   }
 
   /** Marks a pool that did not reply in time. */
-  wasSilent(pool: string): void {
+  markUnresponsive(pool: string): void {
     const link = this.links.get(pool);
     if (link !== undefined) {
       link.isUnresponsive = true;
@@ -122,7 +122,7 @@
    * Pools that have newly exceeded the reply timeout; each time-out is reported
    * once.
    */
-  silent(now: number): readonly string[] {
+  newlyUnresponsive(now: number): readonly string[] {
     const overdue: string[] = [];
     for (const [pool, link] of this.links) {
       const {unansweredSince} = link;
@@ -150,7 +150,7 @@
   }
 
   /** Returns the messages due now. */
-  tick(now: number, fleet: LimitFleet): readonly PoolVisit[] {
+  tick(now: number, fleet: LimitFleet): readonly PoolUpdate[] {
     this.boxes = fleet.boxes;
     this.updatePreferredPools(fleet.candidates);
     this.updateActivePools(now);
@@ -161,14 +161,14 @@
     // A pool that has not replied may have just started and needs a loan.
     const recipients = new Set([...this.preferredPools, ...this.pools.names]);
     return [...recipients]
-      .filter((pool) => isDue || !this.answers(pool))
+      .filter((pool) => isDue || !this.isResponsive(pool))
       .map((pool) => this.createUpdate(now, pool));
   }
 
   private updatePreferredPools(boxes: readonly string[]): void {
     if (boxes !== this.preferredFrom) {
       this.preferredFrom = boxes;
-      this.preferredPools = poolsAmong(boxes);
+      this.preferredPools = selectPools(boxes);
     }
     for (const pool of [...this.preferredPools, this.box]) {
       if (!this.links.has(pool)) {
@@ -204,13 +204,17 @@
    * pool of its own share.
    */
   private targetPools(now: number): readonly string[] {
-    const responsive = this.preferredPools.filter((pool) => this.answers(pool));
+    const responsive = this.preferredPools.filter((pool) =>
+      this.isResponsive(pool),
+    );
     if (responsive.length > 0) {
       this.isolatedSince = undefined;
       return responsive;
     }
     this.isolatedSince ??= now;
-    return now - this.isolatedSince > LOAN_MILLISECONDS ? [this.box] : [];
+    return now - this.isolatedSince > LOAN_DURATION_MILLISECONDS
+      ? [this.box]
+      : [];
   }
 
   /** The pool has no loan in the current pool set. */
@@ -236,13 +240,13 @@
     });
   }
 
-  private createUpdate(now: number, pool: string): PoolVisit {
+  private createUpdate(now: number, pool: string): PoolUpdate {
     const link = this.link(pool);
     link.unansweredSince ??= now;
     if (link.moment === undefined || !this.canLend(now, pool)) {
       return {pool, loan: undefined};
     }
-    link.loanedUntil = now + LOAN_MILLISECONDS;
+    link.loanedUntil = now + LOAN_DURATION_MILLISECONDS;
     link.isNew = false;
     const {digest, names} = this.pools;
     const pools = link.sentPoolsDigest === digest ? undefined : names;
--- a/packages/limits/src/poolPlacement.ts
+++ b/packages/limits/src/poolPlacement.ts
@@ -26,7 +26,7 @@
  * Selects the boxes that run pools; the same on all nodes that know the same
  * boxes.
  */
-export function poolsAmong(boxes: readonly string[]): readonly string[] {
+export function selectPools(boxes: readonly string[]): readonly string[] {
   const targetCount = Math.ceil(boxes.length / BOXES_PER_POOL);
   const count = Math.min(MAXIMUM_POOLS, Math.max(MINIMUM_POOLS, targetCount));
   return rankByHash(boxes, (box) => `pool ${box}`).slice(0, count);
@@ -43,7 +43,7 @@
   }
 
   /** The pools of a customer, the preferred one first. */
-  of(customer: string): readonly string[] {
+  poolsOf(customer: string): readonly string[] {
     const found = this.byCustomer.get(customer);
     if (found !== undefined) {
       return found;
@@ -58,8 +58,8 @@
    * The share of a customer's limit that a pool has; 0 if it is not a pool of
    * the customer.
    */
-  partOf(pool: string, customer: string): number {
-    const customerPools = this.of(customer);
+  shareOf(pool: string, customer: string): number {
+    const customerPools = this.poolsOf(customer);
     const index = customerPools.indexOf(pool);
     return customerPools.length === 1 && index === 0
       ? 1
--- a/packages/limits/src/rateLimit.ts
+++ b/packages/limits/src/rateLimit.ts
@@ -33,7 +33,7 @@
 const ARRIVAL_DELAY_SECONDS = 0.4;
 
 /** The number of calls that the fleet may run in any window. */
-export function mostInWindow(
+export function maximumInWindow(
   {callsPerSecond, burst}: RateLimit,
   {windowMilliseconds, overage, slack}: LimitRules,
 ): number {
@@ -50,5 +50,5 @@
   const {callsPerSecond} = limit;
   const accrued = (callsPerSecond * rules.windowMilliseconds) / 1000;
   const inTransit = callsPerSecond * ARRIVAL_DELAY_SECONDS;
-  return Math.max(1, mostInWindow(limit, rules) - accrued - inTransit);
+  return Math.max(1, maximumInWindow(limit, rules) - accrued - inTransit);
 }
--- a/packages/limits/src/tokenPool.ts
+++ b/packages/limits/src/tokenPool.ts
@@ -23,10 +23,10 @@
  * which is one renewal interval old. After it, a partitioned box has its share
  * back.
  */
-export const LOAN_MILLISECONDS = 6000;
+export const LOAN_DURATION_MILLISECONDS = 6000;
 
 /** Tokens in a box's local stock expire after this time. */
-export const STOCK_MILLISECONDS = 4000;
+export const STOCK_LIFETIME_MILLISECONDS = 4000;
 
 /** Boxes that drew within this time share the available tokens. */
 const CONTENTION_WINDOW_MILLISECONDS = 500;
@@ -95,7 +95,7 @@
   constructor(private readonly context: TokenPoolContext) {}
 
   /** Records a box's loan and grants the tokens it draws. */
-  answer(now: number, {box, loan, draws}: LimitRequest): LimitReply {
+  handleRequest(now: number, {box, loan, draws}: LimitRequest): LimitReply {
     const lacksPools = loan !== undefined && !this.acceptLoan(now, box, loan);
     return {
       kind: 'limit-reply',
@@ -173,7 +173,7 @@
       return false;
     }
     const {since, boxes} = loan;
-    const until = since.at + LOAN_MILLISECONDS;
+    const until = since.at + LOAN_DURATION_MILLISECONDS;
     if (since.process !== this.context.process || until < now) {
       return true;
     }
@@ -215,7 +215,7 @@
     const knownBoxes = this.context.boxes();
     for (const {pools, boxes, begunAt, until} of this.lenders.values()) {
       if (until >= now) {
-        const share = pools.partOf(this.context.box, customer);
+        const share = pools.shareOf(this.context.box, customer);
         callback(share / Math.max(1, boxes, knownBoxes), begunAt);
       }
     }
@@ -301,7 +301,7 @@
   now: number,
 ): void {
   if (tokens > 0) {
-    stocks.set(box, {tokens, until: now + STOCK_MILLISECONDS});
+    stocks.set(box, {tokens, until: now + STOCK_LIFETIME_MILLISECONDS});
   } else {
     stocks.delete(box);
   }
--- a/packages/node/src/process/customerLimits.ts
+++ b/packages/node/src/process/customerLimits.ts
@@ -3,7 +3,11 @@
  * Customers' rate limits at one node, as a client and as a host of token pools.
  */
 
-import {ANSWER_MILLISECONDS, LimitClient, TokenPool} from '@lockpin/limits';
+import {
+  REPLY_TIMEOUT_MILLISECONDS,
+  LimitClient,
+  TokenPool,
+} from '@lockpin/limits';
 import type {
   Admission,
   LimitAction,
@@ -68,7 +72,7 @@
     const callId = String(this.callCount);
     let immediate: Admission | undefined;
     this.pendingAdmissions.set(callId, (admission) => (immediate = admission));
-    this.perform(this.client.arrived(this.now, callId, customer));
+    this.perform(this.client.callArrived(this.now, callId, customer));
     if (immediate !== undefined) {
       return immediate;
     }
@@ -79,7 +83,7 @@
 
   /** Reports that an admitted call did not run and will not. */
   notRun(customer: string): void {
-    this.client.notRun(this.now, customer);
+    this.client.callNotRun(this.now, customer);
   }
 
   /** Applies changed limits of customers. */
@@ -104,12 +108,12 @@
 
   /** Answers a request of a node to a pool of this node. */
   handleRequest(request: LimitRequest): LimitReply {
-    return this.pool.answer(this.now, request);
+    return this.pool.handleRequest(this.now, request);
   }
 
   /** Handles the reply of a pool. */
   replyReceived(reply: LimitReply): void {
-    this.perform(this.client.replied(this.now, reply));
+    this.perform(this.client.replyReceived(this.now, reply));
   }
 
   private get now(): number {
@@ -122,7 +126,7 @@
         case 'send':
           this.send(action.box, action.request);
           break;
-        case 'pool-silent':
+        case 'pool-unresponsive':
           this.context.onUnresponsive(action.box);
           break;
         case 'decided':
@@ -140,8 +144,8 @@
     }
     if (request.draws.length > 0) {
       setTimeout(
-        () => this.perform(this.client.expire(this.now)),
-        ANSWER_MILLISECONDS,
+        () => this.perform(this.client.expireDraws(this.now)),
+        REPLY_TIMEOUT_MILLISECONDS,
       ).unref();
     }
     this.context.send(box, request);
--- a/packages/node/src/request/limitEncoding.ts
+++ b/packages/node/src/request/limitEncoding.ts
@@ -7,14 +7,14 @@
   LimitReply,
   LimitRequest,
   Loan,
-  PoolMoment,
+  PoolTimestamp,
 } from '@lockpin/limits';
 import {decodeRow, encodeRow} from './rowEncoding.js';
 
 const MOMENT_FIELDS = [
   'process',
   'at',
-] as const satisfies readonly (keyof PoolMoment)[];
+] as const satisfies readonly (keyof PoolTimestamp)[];
 
 const LOAN_FIELDS = [
   'since',
@@ -90,7 +90,10 @@
     LOAN_FIELDS,
     row,
   );
-  return {...coded, since: decodeRow<PoolMoment>(MOMENT_FIELDS, coded.since)};
+  return {
+    ...coded,
+    since: decodeRow<PoolTimestamp>(MOMENT_FIELDS, coded.since),
+  };
 }
 
 /** Encodes a limit reply as a row. */
@@ -121,7 +124,7 @@
   return {
     kind: 'limit-reply',
     box,
-    moment: decodeRow<PoolMoment>(MOMENT_FIELDS, moment),
+    moment: decodeRow<PoolTimestamp>(MOMENT_FIELDS, moment),
     poolsDigest,
     lacksPools,
     grants: grants.map((row) => decodeRow<Grant>(GRANT_FIELDS, row)),
--- a/packages/tools/src/soak/applyFault.ts
+++ b/packages/tools/src/soak/applyFault.ts
@@ -133,8 +133,8 @@
   if (standIn === undefined) {
     return;
   }
-  standIn.mood = mode;
-  standIn.moodShare = share;
+  standIn.mode = mode;
+  standIn.affectedShare = share;
   await pause(durationMilliseconds);
-  standIn.mood = 'well';
+  standIn.mode = 'well';
 }
--- a/packages/tools/src/soak/boxUpstreams.ts
+++ b/packages/tools/src/soak/boxUpstreams.ts
@@ -102,7 +102,7 @@
   /** Sends an announcement with invalid fields in the upstream's name. */
   async misstate(fields: object): Promise<void> {
     const {announcementAddress} = this.options;
-    await this.present?.announcer.sayOther(announcementAddress, fields);
+    await this.present?.announcer.announceModified(announcementAddress, fields);
   }
 
   /** Stops the upstream without notice and starts its replacement. */
--- a/packages/tools/src/soak/faultPlan.ts
+++ b/packages/tools/src/soak/faultPlan.ts
@@ -3,7 +3,7 @@
 
 import {seededRandom} from '@lockpin/utils';
 import type {RandomSource} from '@lockpin/types';
-import type {StoreMood, UpstreamMood} from '@lockpin/platform-stand-ins';
+import type {StoreMode, UpstreamMode} from '@lockpin/platform-stand-ins';
 import type {LinkFault} from './linkProxy.js';
 
 /** The connections of a box that link faults can affect. */
@@ -23,7 +23,7 @@
       readonly fault: LinkFault;
       readonly lasts: number;
     }
-  | {readonly kind: 'store'; readonly mood: StoreMood; readonly lasts: number}
+  | {readonly kind: 'store'; readonly mood: StoreMode; readonly lasts: number}
   | {readonly kind: 'store-forgets'}
   /** The store is unavailable, then comes back from an older copy. */
   | {
@@ -34,7 +34,7 @@
   | {
       readonly kind: 'upstream';
       readonly box: number;
-      readonly mood: UpstreamMood;
+      readonly mood: UpstreamMode;
       readonly share: number;
       readonly lasts: number;
     }
@@ -93,7 +93,7 @@
 /** Minimum share of the requests that a faulty upstream mishandles. */
 const MINIMUM_AFFECTED_SHARE = 0.2;
 
-const STORE_MODES: readonly StoreMood[] = [
+const STORE_MODES: readonly StoreMode[] = [
   'busy',
   'silent',
   'slow',
@@ -101,7 +101,7 @@
   'done-late',
 ];
 
-const UPSTREAM_MODES: readonly UpstreamMood[] = [
+const UPSTREAM_MODES: readonly UpstreamMode[] = [
   'errors',
   'resets',
   'sheds',
--- a/packages/tools/src/soak/soakCaller.ts
+++ b/packages/tools/src/soak/soakCaller.ts
@@ -4,7 +4,7 @@
 import {Agent, request as httpRequest} from 'node:http';
 import type {IncomingMessage} from 'node:http';
 import {setTimeout as pause} from 'node:timers/promises';
-import {answerClaims, requestHeaders} from '@lockpin/platform-stand-ins';
+import {readAnswerClaims, requestHeaders} from '@lockpin/platform-stand-ins';
 import type {RandomSource} from '@lockpin/types';
 import {parseAddress} from '@lockpin/utils';
 import {SOAK_HOST, soakRoutes} from './soakConfiguration.js';
@@ -89,7 +89,7 @@
   return {
     kind: 'answered',
     status,
-    ...answerClaims(status, response.headers),
+    ...readAnswerClaims(status, response.headers),
     body: Buffer.concat(chunks).toString(),
   };
 }
--- a/packages/tools/src/soak/soakStore.ts
+++ b/packages/tools/src/soak/soakStore.ts
@@ -8,7 +8,7 @@
   CONFIGURATION_TOPIC,
   StoreStandIn,
 } from '@lockpin/platform-stand-ins';
-import type {StoreMood} from '@lockpin/platform-stand-ins';
+import type {StoreMode} from '@lockpin/platform-stand-ins';
 import {soakConfiguration} from './soakConfiguration.js';
 import type {VersionFact} from './soakFacts.js';
 
@@ -19,7 +19,7 @@
 export class SoakStore {
   private readonly standIn = new StoreStandIn();
   private newestVersion = 0;
-  private readonly activeModes: StoreMood[] = [];
+  private readonly activeModes: StoreMode[] = [];
 
   constructor(private readonly onVersion: (version: VersionFact) => void) {}
 
@@ -47,12 +47,12 @@
   }
 
   /** Applies a fault mode for a time; of several, the latest takes effect. */
-  async misbehave(mode: StoreMood, milliseconds: number): Promise<void> {
+  async misbehave(mode: StoreMode, milliseconds: number): Promise<void> {
     this.activeModes.push(mode);
-    this.standIn.mood = mode;
+    this.standIn.mode = mode;
     await pause(milliseconds);
     this.activeModes.splice(this.activeModes.indexOf(mode), 1);
-    this.standIn.mood = this.activeModes.at(-1) ?? 'well';
+    this.standIn.mode = this.activeModes.at(-1) ?? 'well';
   }
 
   /** Restores an older copy; the operator then rewrites the configuration. */
@@ -74,6 +74,6 @@
 
   /** Drops all history except the newest record of each key. */
   forget(): void {
-    this.standIn.forgetHistory();
+    this.standIn.dropHistory();
   }
 }
