--- a/packages/cli/src/__tests__/callExplanation.test.ts
+++ b/packages/cli/src/__tests__/callExplanation.test.ts
@@ -2,7 +2,7 @@
 /** Explaining a request from log lines. */
 
 import {describe, expect, it} from 'vitest';
-import {explainCall, readLogLine} from '../callExplanation.js';
+import {explainCall, parseLogLine} from '../callExplanation.js';
 import type {LogLine} from '../callExplanation.js';
 
 const LINES: readonly LogLine[] = [
@@ -61,7 +61,7 @@
 
 describe('parseLogLine', () => {
   it('parses a line with a prefix added by a log collector', () => {
-    const line = readLogLine(
+    const line = parseLogLine(
       '12.5 box-1 {"time":"t","event":"call","box":"b"}',
     );
     expect(line).toMatchObject({event: 'call'});
@@ -70,7 +70,7 @@
   it.each(['', 'plain text', '{"time":"t"}', '{broken'])(
     'ignores %j',
     (text) => {
-      expect(readLogLine(text)).toBeUndefined();
+      expect(parseLogLine(text)).toBeUndefined();
     },
   );
 });
--- a/packages/cli/src/__tests__/timelinePicture.test.ts
+++ b/packages/cli/src/__tests__/renderTimelineHtml.test.ts
@@ -3,7 +3,7 @@
 
 import {describe, expect, it} from 'vitest';
 import type {TimelineEvent} from '@lockpin/types';
-import {timelinePicture} from '../timelinePicture.js';
+import {renderTimelineHtml} from '../renderTimelineHtml.js';
 
 function event(box: string, milliseconds: number, kind: string): TimelineEvent {
   const time = {milliseconds, counter: 0};
@@ -12,7 +12,7 @@
 
 describe('renderTimelineHtml', () => {
   it('renders a lane for each box and a mark for each event', () => {
-    const page = timelinePicture([
+    const page = renderTimelineHtml([
       event('one', 1000, 'node-ready'),
       event('two', 1500, 'upstream-ejected'),
       event('one', 2000, 'change-accepted'),
@@ -23,13 +23,13 @@
   });
 
   it('escapes event fields and references no external files', () => {
-    const page = timelinePicture([event('one', 1000, '<script>')]);
+    const page = renderTimelineHtml([event('one', 1000, '<script>')]);
     expect(page).not.toContain('<script>');
     expect(page).not.toContain('<b>&');
     expect(page).not.toMatch(/src=|href=|url\(/);
   });
 
   it('renders a timeline without events', () => {
-    expect(timelinePicture([])).toContain('0 events');
+    expect(renderTimelineHtml([])).toContain('0 events');
   });
 });
--- a/packages/cli/src/apiClient.ts
+++ b/packages/cli/src/apiClient.ts
@@ -19,7 +19,7 @@
   ApiFailure | {readonly kind: 'node-unreachable'; readonly address: string};
 
 /** The result of an accepted change. */
-export interface Accepted {
+export interface AcceptedChange {
   readonly version: number;
   readonly changeId: string;
 }
@@ -69,7 +69,7 @@
   change(
     changeId: string,
     writes: readonly Write[],
-  ): Promise<Result<Accepted, ClientFailure>> {
+  ): Promise<Result<AcceptedChange, ClientFailure>> {
     return this.send('POST', '/changes', {changeId, writes});
   }
 
--- a/packages/cli/src/callExplanation.ts
+++ b/packages/cli/src/callExplanation.ts
@@ -46,7 +46,7 @@
 ]);
 
 /** Parses a log line; undefined if it is not a node's log entry. */
-export function readLogLine(text: string): LogLine | undefined {
+export function parseLogLine(text: string): LogLine | undefined {
   const start = text.indexOf('{');
   if (start < 0) {
     return undefined;
--- a/packages/cli/src/commands/delete.ts
+++ b/packages/cli/src/commands/delete.ts
@@ -5,7 +5,7 @@
 import type {ResourceKind} from '@lockpin/types';
 import type {CommandContext} from '../commandContext.js';
 import type {ExitCode} from '../exitCodes.js';
-import {kindFrom} from './get.js';
+import {parseResourceKind} from './get.js';
 
 /** Options of the command. */
 export interface DeleteOptions {
@@ -18,7 +18,8 @@
   context: CommandContext,
   options: DeleteOptions,
 ): Promise<ExitCode> {
-  const kind = (kindFrom(options.kind) ?? options.kind) as ResourceKind;
+  const kind = (parseResourceKind(options.kind) ??
+    options.kind) as ResourceKind;
   const {name} = options;
   const current = await context.api.resource(kind, name);
   if (!current.ok) {
--- a/packages/cli/src/commands/describe.ts
+++ b/packages/cli/src/commands/describe.ts
@@ -5,7 +5,7 @@
 import type {ExitCode} from '../exitCodes.js';
 import {render} from '../output.js';
 import {EXIT_CODES} from '../exitCodes.js';
-import {kindFrom} from './get.js';
+import {parseResourceKind} from './get.js';
 
 /** Options of the command. */
 export interface DescribeOptions {
@@ -18,7 +18,10 @@
   context: CommandContext,
   {kind, name}: DescribeOptions,
 ): Promise<ExitCode> {
-  const resource = await context.api.resource(kindFrom(kind) ?? kind, name);
+  const resource = await context.api.resource(
+    parseResourceKind(kind) ?? kind,
+    name,
+  );
   if (!resource.ok) {
     return context.fail(resource.failure);
   }
--- a/packages/cli/src/commands/explain.ts
+++ b/packages/cli/src/commands/explain.ts
@@ -3,7 +3,7 @@
 
 import {createReadStream} from 'node:fs';
 import {createInterface} from 'node:readline';
-import {explainCall, readLogLine} from '../callExplanation.js';
+import {explainCall, parseLogLine} from '../callExplanation.js';
 import type {LogLine} from '../callExplanation.js';
 import type {CommandContext} from '../commandContext.js';
 import {EXIT_CODES} from '../exitCodes.js';
@@ -28,7 +28,7 @@
   const lines: LogLine[] = [];
   for (const input of inputs) {
     for await (const text of createInterface({input})) {
-      const line = readLogLine(text);
+      const line = parseLogLine(text);
       if (line !== undefined) {
         lines.push(line);
       }
--- a/packages/cli/src/commands/get.ts
+++ b/packages/cli/src/commands/get.ts
@@ -24,7 +24,7 @@
       ? context.show(found.value, [found.value])
       : context.fail(found.failure);
   }
-  const kind = kindFrom(kindArgument);
+  const kind = parseResourceKind(kindArgument);
   if (kind === undefined) {
     const problem = `must be one of ${RESOURCE_KINDS.join(', ')} or change`;
     const problems = [{field: 'kind', problem}];
@@ -38,7 +38,7 @@
 }
 
 /** Resolves a kind from any of the forms service, services and Service. */
-export function kindFrom(kindArgument: string): string | undefined {
+export function parseResourceKind(kindArgument: string): string | undefined {
   const singular = kindArgument.replace(/s$/, '');
   const capitalized = singular.charAt(0).toUpperCase() + singular.slice(1);
   return isResourceKind(capitalized) ? capitalized : undefined;
--- a/packages/cli/src/commands/status.ts
+++ b/packages/cli/src/commands/status.ts
@@ -3,13 +3,13 @@
 
 import type {CommandContext} from '../commandContext.js';
 import type {ExitCode} from '../exitCodes.js';
-import {everyStatus} from '../nodeStatuses.js';
+import {fetchNodeStatuses} from '../nodeStatuses.js';
 import type {NodeStatus} from '../nodeStatuses.js';
 import type {Row} from '../output.js';
 
 /** Shows one row for each upstream, and one for a node without any. */
 export async function status(context: CommandContext): Promise<ExitCode> {
-  const statuses = await everyStatus(context.api);
+  const statuses = await fetchNodeStatuses(context.api);
   if (!statuses.ok) {
     return context.fail(statuses.failure);
   }
--- a/packages/cli/src/commands/timeline.ts
+++ b/packages/cli/src/commands/timeline.ts
@@ -7,8 +7,8 @@
 import type {CommandContext} from '../commandContext.js';
 import {EXIT_CODES} from '../exitCodes.js';
 import type {ExitCode} from '../exitCodes.js';
-import {everyNode} from '../nodeStatuses.js';
-import {timelinePicture} from '../timelinePicture.js';
+import {createNodeClients} from '../nodeStatuses.js';
+import {renderTimelineHtml} from '../renderTimelineHtml.js';
 
 /** Values of the --format option. */
 export const TIMELINE_FORMATS = ['text', 'jsonl', 'html'] as const;
@@ -27,7 +27,7 @@
   context: CommandContext,
   {format, seconds, file}: TimelineOptions,
 ): Promise<ExitCode> {
-  const clients = await everyNode(context.api);
+  const clients = await createNodeClients(context.api);
   if (!clients.ok) {
     return context.fail(clients.failure);
   }
@@ -61,16 +61,16 @@
 ): string {
   switch (format) {
     case 'text':
-      return events.map((event) => `${textLine(event)}\n`).join('');
+      return events.map((event) => `${formatEvent(event)}\n`).join('');
     case 'jsonl':
       return events.map((event) => `${JSON.stringify(event)}\n`).join('');
     case 'html':
-      return timelinePicture(events);
+      return renderTimelineHtml(events);
   }
 }
 
 /** Formats one event as a line of text. */
-export function textLine({
+export function formatEvent({
   time,
   box,
   kind,
--- a/packages/cli/src/nodeStatuses.ts
+++ b/packages/cli/src/nodeStatuses.ts
@@ -39,7 +39,7 @@
 }
 
 /** Creates clients for all members that are not dead and have an address. */
-export async function everyNode(
+export async function createNodeClients(
   api: ApiClient,
 ): Promise<Result<readonly ApiClient[], ClientFailure>> {
   const first = await api.get<NodeStatus>('/status');
@@ -56,10 +56,10 @@
 }
 
 /** Fetches the statuses of all nodes that answer. */
-export async function everyStatus(
+export async function fetchNodeStatuses(
   api: ApiClient,
 ): Promise<Result<readonly NodeStatus[], ClientFailure>> {
-  const clients = await everyNode(api);
+  const clients = await createNodeClients(api);
   if (!clients.ok) {
     return clients;
   }
--- a/packages/cli/src/timelinePicture.ts
+++ b/packages/cli/src/renderTimelineHtml.ts
@@ -15,7 +15,7 @@
 ];
 
 /** Renders one lane for each box, with a mark for each event. */
-export function timelinePicture(events: readonly TimelineEvent[]): string {
+export function renderTimelineHtml(events: readonly TimelineEvent[]): string {
   const boxes = [...new Set(events.map(({box}) => box))].sort();
   const times = events.map(({time}) => time.milliseconds);
   const start = times.length === 0 ? 0 : Math.min(...times);
--- a/packages/node/src/__tests__/guardService.test.ts
+++ b/packages/node/src/__tests__/guardService.test.ts
@@ -134,7 +134,7 @@
   });
 
   it('reports the outcome unknown when the deadline passes before the answer', async () => {
-    upstream.turn({workMilliseconds: 2000});
+    upstream.setBehaviour({workMilliseconds: 2000});
     const ending = await exchange(head('late', {remaining: 60})).ending;
     expect(ending).toMatchObject({
       kind: 'refusal',
@@ -143,7 +143,7 @@
   });
 
   it('refuses a truncated answer with the outcome unknown', async () => {
-    upstream.turn({truncateShare: 1});
+    upstream.setBehaviour({truncateShare: 1});
     const ending = await exchange(head('cut')).ending;
     expect(ending).toMatchObject({
       kind: 'refusal',
@@ -161,7 +161,7 @@
   });
 
   it('never runs a queued call that it refused as not-run', async () => {
-    upstream.turn({workMilliseconds: 100});
+    upstream.setBehaviour({workMilliseconds: 100});
     const running = exchange(head('running'));
     const queued = exchange(head('queued', {remaining: 55}));
     const ending = await queued.ending;
@@ -175,9 +175,9 @@
   });
 
   it('runs the next call when the running one is cancelled', async () => {
-    upstream.turn({workMilliseconds: 60_000});
+    upstream.setBehaviour({workMilliseconds: 60_000});
     const left = exchange(head('left'));
-    upstream.turn({workMilliseconds: 1});
+    upstream.setBehaviour({workMilliseconds: 1});
     const next = exchange(head('next'));
     left.cancel();
     expect(requestIdOf(await next.ending)).toBe('next');
@@ -186,7 +186,7 @@
 
 describe('a suspension of the machine', () => {
   it('ends overdue calls at once and no others', async () => {
-    upstream.turn({workMilliseconds: 300});
+    upstream.setBehaviour({workMilliseconds: 300});
     const long = exchange(head('1', {remaining: 60_000}));
     const short = exchange(head('2', {remaining: 20_000}));
     suspended = 30_000;
--- a/packages/stand-ins/src/logService.ts
+++ b/packages/stand-ins/src/logService.ts
@@ -6,9 +6,9 @@
 import {listen, readBody, sendJson} from './http.js';
 
 /** The behaviour of the stand-in log; can be changed while it runs. */
-export interface LogSwitches {
+export interface LogBehaviour {
   /** Closes every connection without answering. */
-  readonly away: boolean;
+  readonly isUnavailable: boolean;
   /** The delay of every answer, in milliseconds. */
   readonly slowMilliseconds: number;
   /** Appends take effect, but their connection is closed without an answer. */
@@ -20,8 +20,8 @@
 }
 
 /** The behaviour of the log on a healthy platform. */
-export const DEFAULT_LOG_SWITCHES: LogSwitches = {
-  away: false,
+export const DEFAULT_LOG_BEHAVIOUR: LogBehaviour = {
+  isUnavailable: false,
   slowMilliseconds: 0,
   loseConfirmations: false,
   retainedRecords: 1_000_000,
@@ -41,7 +41,7 @@
 
 /** An in-memory append-only log served over HTTP. */
 export class LogService {
-  switches: LogSwitches = DEFAULT_LOG_SWITCHES;
+  behaviour: LogBehaviour = DEFAULT_LOG_BEHAVIOUR;
   /** Appends and reads served, and appends refused with 429. */
   readonly counts = {appends: 0, reads: 0, refused: 0};
   private readonly streams = new Map<string, Stream>();
@@ -73,9 +73,9 @@
   }
 
   /** Changes parts of the behaviour. */
-  turn(changes: Partial<LogSwitches>): void {
-    this.switches = {...this.switches, ...changes};
-    if (this.switches.away) {
+  setBehaviour(changes: Partial<LogBehaviour>): void {
+    this.behaviour = {...this.behaviour, ...changes};
+    if (this.behaviour.isUnavailable) {
       this.server?.closeAllConnections();
     }
     for (const stream of this.streams.values()) {
@@ -134,7 +134,7 @@
   }
 
   private trim(stream: Stream): void {
-    const excess = stream.records.length - this.switches.retainedRecords;
+    const excess = stream.records.length - this.behaviour.retainedRecords;
     if (excess > 0) {
       stream.records.splice(0, excess);
       stream.times.splice(0, excess);
@@ -157,7 +157,7 @@
     }
     this.counts.appends += 1;
     const offset = this.appendDirectly(name, JSON.parse(body.toString('utf8')));
-    if (this.switches.loseConfirmations) {
+    if (this.behaviour.loseConfirmations) {
       response.destroy();
       return;
     }
@@ -171,7 +171,7 @@
       this.appendsThisSecond = 0;
     }
     this.appendsThisSecond += 1;
-    return this.appendsThisSecond > this.switches.appendsPerSecond;
+    return this.appendsThisSecond > this.behaviour.appendsPerSecond;
   }
 
   private async read(
@@ -233,12 +233,12 @@
   private async closeIfUnavailable(
     response: Parameters<typeof sendJson>[0],
   ): Promise<boolean> {
-    if (this.switches.slowMilliseconds > 0) {
+    if (this.behaviour.slowMilliseconds > 0) {
       await new Promise((resolve) =>
-        setTimeout(resolve, this.switches.slowMilliseconds),
+        setTimeout(resolve, this.behaviour.slowMilliseconds),
       );
     }
-    if (this.switches.away || response.destroyed) {
+    if (this.behaviour.isUnavailable || response.destroyed) {
       response.destroy();
       return true;
     }
--- a/packages/stand-ins/src/upstream.ts
+++ b/packages/stand-ins/src/upstream.ts
@@ -7,7 +7,7 @@
 import {listen, readBody, sendJson} from './http.js';
 
 /** The behaviour of the stand-in upstream; can be changed while it runs. */
-export interface UpstreamSwitches {
+export interface UpstreamBehaviour {
   /** Share of calls that fail with 500 while health checks still succeed. */
   readonly errorShare: number;
   /** Factor by which the work of a call takes longer. */
@@ -21,7 +21,7 @@
 }
 
 /** The behaviour of a healthy upstream. */
-export const HEALTHY_UPSTREAM: UpstreamSwitches = {
+export const HEALTHY_UPSTREAM_BEHAVIOUR: UpstreamBehaviour = {
   errorShare: 0,
   slowness: 1,
   truncateShare: 0,
@@ -46,10 +46,10 @@
 
 /** An HTTP upstream that records each call it executes. */
 export class StandInUpstream {
-  switches: UpstreamSwitches = HEALTHY_UPSTREAM;
+  behaviour: UpstreamBehaviour = HEALTHY_UPSTREAM_BEHAVIOUR;
   readonly executions: Execution[] = [];
   /** The highest number of calls that ran at the same time. */
-  mostRunning = 0;
+  peakConcurrency = 0;
   private running = 0;
   private server: Server | undefined;
 
@@ -75,8 +75,8 @@
   }
 
   /** Changes parts of the behaviour. */
-  turn(changes: Partial<UpstreamSwitches>): void {
-    this.switches = {...this.switches, ...changes};
+  setBehaviour(changes: Partial<UpstreamBehaviour>): void {
+    this.behaviour = {...this.behaviour, ...changes};
   }
 
   stop(): void {
@@ -95,7 +95,7 @@
     }
     const startedAt = performance.now();
     this.running += 1;
-    this.mostRunning = Math.max(this.mostRunning, this.running);
+    this.peakConcurrency = Math.max(this.peakConcurrency, this.running);
     const requestId = String(request.headers['x-request-id'] ?? '');
     this.executions.push({
       requestId,
@@ -110,7 +110,7 @@
   }
 
   private async work(): Promise<void> {
-    const {workMilliseconds, slowness} = this.switches;
+    const {workMilliseconds, slowness} = this.behaviour;
     const spread = 0.5 + this.options.random();
     const milliseconds = workMilliseconds * slowness * spread;
     if (milliseconds > 0) {
@@ -125,7 +125,7 @@
     body: Buffer,
     tookMilliseconds: number,
   ): void {
-    const {answersCut, errorShare, truncateShare} = this.switches;
+    const {answersCut, errorShare, truncateShare} = this.behaviour;
     if (answersCut) {
       return;
     }
--- a/packages/tools/src/__tests__/bodiesAndStops.test.ts
+++ b/packages/tools/src/__tests__/bodiesAndStops.test.ts
@@ -20,7 +20,7 @@
 
 afterAll(async () => {
   fleet.platform.upstreams.forEach(({standIn}) =>
-    standIn.turn({truncateShare: 0, workMilliseconds: 1}),
+    standIn.setBehaviour({truncateShare: 0, workMilliseconds: 1}),
   );
   await fleet.stop();
 });
@@ -111,10 +111,10 @@
 
   it('fails visibly when the upstream truncates it', async () => {
     const upstreams = fleet.platform.upstreams;
-    upstreams.forEach(({standIn}) => standIn.turn({truncateShare: 1}));
+    upstreams.forEach(({standIn}) => standIn.setBehaviour({truncateShare: 1}));
     const answer = await call(node(0), `/trips?answerBytes=${3 * MEGABYTE}`);
     await expect(answer.body.arrayBuffer()).rejects.toThrow();
-    upstreams.forEach(({standIn}) => standIn.turn({truncateShare: 0}));
+    upstreams.forEach(({standIn}) => standIn.setBehaviour({truncateShare: 0}));
   });
 });
 
@@ -168,7 +168,7 @@
 describe('a planned stop', () => {
   it('completes calls in flight at the entry and at the guard', async () => {
     fleet.platform.upstreams.forEach(({standIn}) =>
-      standIn.turn({workMilliseconds: 400}),
+      standIn.setBehaviour({workMilliseconds: 400}),
     );
     const started = executionsOnBox(node(2).box);
     const inFlight = [0, 1, 2].map(async (i) => {
--- a/packages/tools/src/__tests__/operators.test.ts
+++ b/packages/tools/src/__tests__/operators.test.ts
@@ -140,9 +140,9 @@
   });
 
   it('reports unknown for a change that the log never confirmed', async () => {
-    fleet.platform.log.turn({away: true});
+    fleet.platform.log.setBehaviour({isUnavailable: true});
     const refused = await change([customer('never')]);
-    fleet.platform.log.turn({away: false});
+    fleet.platform.log.setBehaviour({isUnavailable: false});
     expect(refused).toMatchObject({
       status: 503,
       body: {kind: 'log-unavailable'},
--- a/packages/tools/src/demo/session.ts
+++ b/packages/tools/src/demo/session.ts
@@ -174,7 +174,7 @@
   const step = (seconds * 1000) / 10;
   await pause(step * 2);
   faults.grayAt = Date.now();
-  faults.gray.standIn.turn({errorShare: 1});
+  faults.gray.standIn.setBehaviour({errorShare: 1});
   progress(
     `${faults.gray.name} fails every call while its health check passes`,
   );
@@ -183,7 +183,7 @@
   faults.drainedAt = Date.now();
   progress(`${faults.drained.name} is drained`);
   await pause(step);
-  platform.log.turn({away: true});
+  platform.log.setBehaviour({isUnavailable: true});
   progress("the platform's log is unavailable");
   await pause(step);
   const from = Date.now();
@@ -197,7 +197,7 @@
   await killed.kill();
   platform.boxList.remove(killed.options.box);
   await pause(step * 2);
-  platform.log.turn({away: false});
+  platform.log.setBehaviour({isUnavailable: false});
   progress("the platform's log is available again");
   await pause(step * 2);
   return faults;
--- a/packages/tools/src/fleet/main.ts
+++ b/packages/tools/src/fleet/main.ts
@@ -75,7 +75,7 @@
   }
   await waitForVersion(logVersion());
 });
-log.turn({away: true});
+log.setBehaviour({isUnavailable: true});
 await runPhase('replace nodes while the log is away', replaceNodes);
 await runPhase('refuse changes while the log is away', async () => {
   const response = await submitChange(nodes[0] as NodeProcess, 'refused');
@@ -85,7 +85,7 @@
     );
   }
 });
-log.turn({away: false});
+log.setBehaviour({isUnavailable: false});
 await runPhase('publish changes after the log is back', async () => {
   for (let i = 0; i < options.changes; i += 1) {
     await publishChange(`after-${i}`);
