--- a/packages/tools/src/__tests__/bodiesAndStops.test.ts
+++ b/packages/tools/src/__tests__/bodiesAndStops.test.ts
@@ -5,7 +5,7 @@
 import {request} from 'undici';
 import {startSmallFleet} from '../harness/smallFleet.js';
 import type {SmallFleet, SmallNode} from '../harness/smallFleet.js';
-import {until} from '../harness/until.js';
+import {waitUntil} from '../harness/waitUntil.js';
 
 const MEGABYTE = 1024 * 1024;
 
@@ -65,7 +65,7 @@
   const result = await host.publish(change);
   expect(result).toMatchObject({outcome: {kind: 'accepted'}});
   const {version} = host.control.replica;
-  await until(() =>
+  await waitUntil(() =>
     fleet.nodes.every(
       ({host: each}) => each.control.replica.version >= version,
     ),
@@ -176,7 +176,7 @@
       await answer.body.dump();
       return answer.headers['lockpin-outcome'];
     });
-    await until(() => executionsOnBox(node(2).box) > started);
+    await waitUntil(() => executionsOnBox(node(2).box) > started);
     const stopped = node(2).running.stop();
     const refused = await call(node(2), '/readings');
     expect(await refused.body.json()).toMatchObject({
--- a/packages/tools/src/__tests__/operators.test.ts
+++ b/packages/tools/src/__tests__/operators.test.ts
@@ -9,7 +9,7 @@
 import {OPERATOR_TOKEN} from '../harness/nodeProcess.js';
 import {startSmallFleet} from '../harness/smallFleet.js';
 import type {SmallFleet, SmallNode} from '../harness/smallFleet.js';
-import {until} from '../harness/until.js';
+import {waitUntil} from '../harness/waitUntil.js';
 
 const SALT = 'ffeeddccbbaa99887766554433221100';
 
@@ -277,7 +277,7 @@
   });
 
   it('does not affect other calls', async () => {
-    await until(async () => {
+    await waitUntil(async () => {
       const answer = await request(`http://${node(1).callerAddress}/readings`, {
         headers: {'lockpin-service': 'barid/telemetry'},
       });
--- a/packages/tools/src/__tests__/restoredLog.test.ts
+++ b/packages/tools/src/__tests__/restoredLog.test.ts
@@ -7,7 +7,7 @@
 import {OPERATOR_TOKEN} from '../harness/nodeProcess.js';
 import {startSmallFleet} from '../harness/smallFleet.js';
 import type {SmallFleet} from '../harness/smallFleet.js';
-import {until} from '../harness/until.js';
+import {waitUntil} from '../harness/waitUntil.js';
 
 let fleet: SmallFleet;
 
@@ -55,10 +55,10 @@
         ({host}) =>
           host.control.replica.era === 2 && !host.control.restores.isPending,
       );
-    await until(isRestored);
+    await waitUntil(isRestored);
     expect(recordCount()).toBe(before);
     expect((await submitChange('fourth', 1)).status).toBe(200);
-    await until(() =>
+    await waitUntil(() =>
       fleet.nodes.every(
         ({host}) => host.control.replica.version === before + 1,
       ),
--- a/packages/tools/src/__tests__/wholePath.test.ts
+++ b/packages/tools/src/__tests__/wholePath.test.ts
@@ -73,7 +73,7 @@
       });
       bodies.push(await answer.body.text());
     }
-    const runs = fleet.executions().filter((id) => id === 'claim-1');
+    const runs = fleet.executedRequestIds().filter((id) => id === 'claim-1');
     expect(runs).toHaveLength(1);
     expect(new Set(bodies).size).toBe(1);
   });
--- a/packages/tools/src/bench/main.ts
+++ b/packages/tools/src/bench/main.ts
@@ -8,7 +8,7 @@
 import {BoxList, LogService} from '@lockpin/stand-ins';
 import {NodeProcess, freeNodeAddresses} from '../harness/nodeProcess.js';
 import {LOOPBACK} from '../harness/ports.js';
-import {until} from '../harness/until.js';
+import {waitUntil} from '../harness/waitUntil.js';
 import {startChild} from './childProcess.js';
 import type {LoadResult, LoadTask} from './load.js';
 import {processorSeconds} from './processTime.js';
@@ -130,7 +130,7 @@
   const guard = await start('guard');
   const entry = await start('entry');
   log.appendDirectly('configuration', configuration(upstreamAddress));
-  await until(async () => {
+  await waitUntil(async () => {
     const answers = await Promise.all(
       [guard, entry].map(({addresses}) => isServed(addresses.caller)),
     );
--- a/packages/tools/src/capacity/processSlopes.ts
+++ b/packages/tools/src/capacity/processSlopes.ts
@@ -11,7 +11,7 @@
   freeNodeAddresses,
 } from '../harness/nodeProcess.js';
 import {LOOPBACK} from '../harness/ports.js';
-import {until} from '../harness/until.js';
+import {waitUntil} from '../harness/waitUntil.js';
 
 /** Mean control overhead per node without traffic. */
 export interface ProcessPoint {
@@ -211,7 +211,7 @@
   version: number,
 ): Promise<void> {
   const behind = new Set(nodes);
-  await until(async () => {
+  await waitUntil(async () => {
     await Promise.all(
       [...behind].map(async (node) => {
         const answer = await fetchStatus(node);
--- a/packages/tools/src/cost/costFleet.ts
+++ b/packages/tools/src/cost/costFleet.ts
@@ -6,7 +6,7 @@
 import {seededRandom} from '@lockpin/utils';
 import {processorSeconds} from '../bench/processTime.js';
 import {freeAddresses} from '../harness/ports.js';
-import {until} from '../harness/until.js';
+import {waitUntil} from '../harness/waitUntil.js';
 import {SOAK_BOUNDS} from '../soak/runSoak.js';
 import {SoakBox} from '../soak/soakBox.js';
 import {sendRequest} from '../soak/soakCaller.js';
@@ -50,7 +50,9 @@
     this.boxes = boxes;
     this.agents = boxes.map(() => new Agent({keepAlive: true, maxSockets: 1}));
     await Promise.all(boxes.map((box) => box.start()));
-    await until(() => boxes.every(({process}) => process.pid !== undefined));
+    await waitUntil(() =>
+      boxes.every(({process}) => process.pid !== undefined),
+    );
     await pause(SETTLE_MILLISECONDS);
   }
 
@@ -115,7 +117,7 @@
       bounds: SOAK_BOUNDS,
       command: this.variant.command,
       onDrained: () => undefined,
-      onUnaskedExit: () => undefined,
+      onUnexpectedExit: () => undefined,
     });
   }
 }
--- a/packages/tools/src/faults/matrix.ts
+++ b/packages/tools/src/faults/matrix.ts
@@ -21,8 +21,8 @@
 
 /** Test coverage of one fault at one step. */
 export type Cell =
-  | {readonly kind: 'proved'; readonly tests: readonly TestReference[]}
-  | {readonly kind: 'cannot'; readonly why: string}
+  | {readonly kind: 'covered'; readonly tests: readonly TestReference[]}
+  | {readonly kind: 'not-applicable'; readonly why: string}
   | {readonly kind: 'open'; readonly what: string};
 
 /** One fault and its coverage at each step. */
@@ -70,11 +70,11 @@
 };
 
 function covered(...tests: readonly TestReference[]): Cell {
-  return {kind: 'proved', tests};
+  return {kind: 'covered', tests};
 }
 
 function notApplicable(why: string): Cell {
-  return {kind: 'cannot', why};
+  return {kind: 'not-applicable', why};
 }
 
 function open(what: string): Cell {
--- a/packages/tools/src/faults/platformPromises.ts
+++ b/packages/tools/src/faults/platformGuarantees.ts
@@ -4,8 +4,8 @@
 import type {TestReference} from './matrix.js';
 
 /** A guarantee, the tests that try to break it, and what remains open. */
-export interface PlatformPromise {
-  readonly promise: string;
+export interface PlatformGuarantee {
+  readonly guarantee: string;
   readonly tests: readonly TestReference[];
   /** Uncovered cases; empty when there are none. */
   readonly open: string;
@@ -52,13 +52,13 @@
   text: string,
   tests: readonly (readonly [file: string, title: string])[],
   open = '',
-): PlatformPromise {
+): PlatformGuarantee {
   const references = tests.map(([file, title]) => ({file, title}));
-  return {promise: text, tests: references, open};
+  return {guarantee: text, tests: references, open};
 }
 
 /** Every guarantee that the users' bench checks. */
-export const PLATFORM_PROMISES: readonly PlatformPromise[] = [
+export const PLATFORM_GUARANTEES: readonly PlatformGuarantee[] = [
   guarantee('whole answers, each to its own request', [
     [BROKEN_ANSWERS, 'takes no answer %s for whole that was reset'],
     [BROKEN_ANSWERS, 'takes bytes that are no answer for a failure'],
--- a/packages/tools/src/faults/renderFaults.ts
+++ b/packages/tools/src/faults/renderFaults.ts
@@ -3,7 +3,7 @@
 
 import {FAULT_MATRIX, STEPS} from './matrix.js';
 import type {Cell, TestReference} from './matrix.js';
-import {PLATFORM_PROMISES} from './platformPromises.js';
+import {PLATFORM_GUARANTEES} from './platformGuarantees.js';
 
 /** Returns the Markdown text of the page. */
 export function renderFaults(): string {
@@ -28,9 +28,9 @@
     '',
     '| promise | tests | open |',
     '| --- | --- | --- |',
-    ...PLATFORM_PROMISES.map(
+    ...PLATFORM_GUARANTEES.map(
       (row) =>
-        `| ${row.promise} | ${numbersOf(row.tests, tests)} | ${row.open} |`,
+        `| ${row.guarantee} | ${numbersOf(row.tests, tests)} | ${row.open} |`,
     ),
     '',
     '## Tests',
@@ -46,11 +46,11 @@
   for (const {cells} of FAULT_MATRIX) {
     for (const step of STEPS) {
       const cell = cells[step];
-      const tests = cell.kind === 'proved' ? cell.tests : [];
+      const tests = cell.kind === 'covered' ? cell.tests : [];
       tests.forEach((test) => found.set(`${test.file} ${test.title}`, test));
     }
   }
-  for (const {tests} of PLATFORM_PROMISES) {
+  for (const {tests} of PLATFORM_GUARANTEES) {
     tests.forEach((test) => found.set(`${test.file} ${test.title}`, test));
   }
   return [...found.values()];
@@ -72,9 +72,9 @@
 
 function cellText(cell: Cell, tests: readonly TestReference[]): string {
   switch (cell.kind) {
-    case 'proved':
+    case 'covered':
       return numbersOf(cell.tests, tests);
-    case 'cannot':
+    case 'not-applicable':
       return `– ${cell.why}`;
     case 'open':
       return `open: ${cell.what}`;
--- a/packages/tools/src/fleet/main.ts
+++ b/packages/tools/src/fleet/main.ts
@@ -12,7 +12,7 @@
   freeNodeAddresses,
 } from '../harness/nodeProcess.js';
 import {LOOPBACK} from '../harness/ports.js';
-import {until} from '../harness/until.js';
+import {waitUntil} from '../harness/waitUntil.js';
 
 const options = await yargs(hideBin(process.argv))
   .option('nodes', {type: 'number', default: 150})
@@ -206,7 +206,7 @@
 
 async function waitForVersion(version: number): Promise<void> {
   const behind = new Set(nodes);
-  await until(async () => {
+  await waitUntil(async () => {
     await Promise.all(
       [...behind].map(async (node) => {
         if (((await fetchStatus(node))?.version ?? -1) >= version) {
--- a/packages/tools/src/harness/startedProcesses.ts
+++ b/packages/tools/src/harness/killOnExit.ts
@@ -10,7 +10,7 @@
 process.once('SIGINT', () => process.exit(1));
 
 /** Kills a child process with SIGKILL when this process exits. */
-export function endTogetherWith(child: ChildProcess): void {
+export function killOnExit(child: ChildProcess): void {
   started.add(child);
   child.once('exit', () => started.delete(child));
 }
--- a/packages/tools/src/harness/nodeProcess.ts
+++ b/packages/tools/src/harness/nodeProcess.ts
@@ -8,7 +8,7 @@
 import {saltedHash} from '@lockpin/utils';
 import {request} from 'undici';
 import {freeAddresses} from './ports.js';
-import {endTogetherWith} from './startedProcesses.js';
+import {killOnExit} from './killOnExit.js';
 
 const NODE_BINARY = fileURLToPath(
   new URL('../../../node/lib/main.js', import.meta.url),
@@ -89,7 +89,7 @@
       {stdio: ['ignore', 'ignore', 'pipe']},
     );
     this.process = child;
-    endTogetherWith(child);
+    killOnExit(child);
     child.stderr?.on('data', (chunk: Buffer) => this.appendLog(String(chunk)));
     this.exit = new Promise((resolve) => child.once('exit', resolve));
   }
--- a/packages/tools/src/harness/smallFleet.ts
+++ b/packages/tools/src/harness/smallFleet.ts
@@ -11,7 +11,7 @@
 import {BOOTSTRAP_TOKEN_HASH, freeNodeAddresses} from './nodeProcess.js';
 import {startPlatform} from './platform.js';
 import type {PlacedBox, Platform} from './platform.js';
-import {until} from './until.js';
+import {waitUntil} from './waitUntil.js';
 
 /** One node of the fleet. */
 export interface SmallNode {
@@ -29,7 +29,7 @@
   readonly nodes: readonly SmallNode[];
   readonly mintKey: (service: string) => Promise<string>;
   /** Identities of executed requests, in order of execution per upstream. */
-  readonly executions: () => readonly string[];
+  readonly executedRequestIds: () => readonly string[];
   readonly stop: () => Promise<void>;
 }
 
@@ -53,14 +53,16 @@
   for (const place of platform.boxes) {
     nodes.push(await startSmallNode(platform, place, options.settings));
   }
-  await until(() => nodes.every(({host}) => host.isReady));
-  await until(() => nodes.every(({host}) => seesMembers(host, nodes.length)));
+  await waitUntil(() => nodes.every(({host}) => host.isReady));
+  await waitUntil(() =>
+    nodes.every(({host}) => seesMembers(host, nodes.length)),
+  );
   await publishDeployment(deployment, platform, nodes);
   return {
     platform,
     nodes,
     mintKey: (service) => mintKey(nodes[0] as SmallNode, service),
-    executions: () =>
+    executedRequestIds: () =>
       platform.upstreams.flatMap(({standIn}) =>
         standIn.executions.map(({requestId}) => requestId),
       ),
@@ -118,7 +120,9 @@
     ),
   } as ChangeRecord;
   await nodes[0]?.host.publish(change);
-  await until(() => nodes.every(({host}) => host.control.replica.version > 0));
+  await waitUntil(() =>
+    nodes.every(({host}) => host.control.replica.version > 0),
+  );
 }
 
 async function mintKey(node: SmallNode, service: string): Promise<string> {
--- a/packages/tools/src/harness/until.ts
+++ b/packages/tools/src/harness/waitUntil.ts
@@ -7,7 +7,7 @@
 const DEFAULT_TIMEOUT_MILLISECONDS = 30_000;
 
 /** Resolves once the condition holds; rejects when the timeout expires. */
-export async function until(
+export async function waitUntil(
   condition: () => boolean | Promise<boolean>,
   timeoutMilliseconds = DEFAULT_TIMEOUT_MILLISECONDS,
 ): Promise<void> {
--- a/packages/tools/src/soak/__tests__/checkFacts.test.ts
+++ b/packages/tools/src/soak/__tests__/checkHistory.test.ts
@@ -2,9 +2,9 @@
 /** The checks of a soak report each violated guarantee and nothing else. */
 
 import {describe, expect, it} from 'vitest';
-import {checkFacts} from '../checkFacts.js';
+import {checkHistory} from '../checkHistory.js';
 import {SOAK_BOUNDS} from '../runSoak.js';
-import type {CallEnd, CallFact, SoakFacts} from '../soakFacts.js';
+import type {CallEnd, CallRecord, SoakHistory} from '../soakHistory.js';
 
 const SERVED: CallEnd = {
   kind: 'answered',
@@ -15,7 +15,7 @@
   body: 'answer q1',
 };
 
-const CALL: CallFact = {
+const CALL: CallRecord = {
   requestId: 'q1',
   box: 'box-1',
   service: 'shop',
@@ -30,28 +30,28 @@
 const ARRIVAL = {...RUN, service: 'shop'} as const;
 
 /** A history in which every guarantee holds. */
-const VALID_HISTORY: SoakFacts = {
+const VALID_HISTORY: SoakHistory = {
   calls: [CALL],
   runs: [RUN],
   arrivals: [ARRIVAL],
   drains: [],
-  markers: [],
+  versionProbes: [],
   versions: [{version: 1, confirmedAt: 0}],
-  troubles: [],
+  disruptions: [],
   stops: [],
-  unasked: [],
-  calmFrom: 9000,
+  unexpectedExits: [],
+  steadyStateFrom: 9000,
   readyLifetimes: ['i-1'],
 };
 
-function violatedGuarantees(change: Partial<SoakFacts>): readonly string[] {
+function violatedGuarantees(change: Partial<SoakHistory>): readonly string[] {
   const history = {...VALID_HISTORY, ...change};
-  return checkFacts(history, SOAK_BOUNDS, (id) => `answer ${id}`).map(
-    ({promise: guarantee}) => guarantee,
+  return checkHistory(history, SOAK_BOUNDS, (id) => `answer ${id}`).map(
+    ({guarantee}) => guarantee,
   );
 }
 
-function withEnd(end: CallEnd, change: Partial<CallFact> = {}): SoakFacts {
+function withEnd(end: CallEnd, change: Partial<CallRecord> = {}): SoakHistory {
   // Further calls are served, so that only the end of the first can violate.
   const served = Array.from({length: 40}, () => ({
     ...CALL,
@@ -112,9 +112,7 @@
         until: 10_200,
       },
     ];
-    expect(violatedGuarantees({...lateAnswer, troubles: disruptions})).toEqual(
-      [],
-    );
+    expect(violatedGuarantees({...lateAnswer, disruptions})).toEqual([]);
   });
 
   it('report a broken call that ran, but not one that raced with the stop', () => {
@@ -133,7 +131,7 @@
     };
     expect(violatedGuarantees({stops: [stop]})).toEqual(['planned stops']);
     const unexpectedExits = [{box: 'box-1', at: 5, exitCode: null}];
-    expect(violatedGuarantees({unasked: unexpectedExits})).toEqual([
+    expect(violatedGuarantees({unexpectedExits})).toEqual([
       'no unexpected exits',
     ]);
   });
@@ -149,18 +147,18 @@
   it('report a version that is not in force in time and a version rollback', () => {
     const asked = {box: 'box-1', life: 1, version: 1};
     const unknown = {...asked, sentAt: 5000, endedAt: 5010, isKnown: false};
-    expect(violatedGuarantees({markers: [unknown]})).toEqual([
+    expect(violatedGuarantees({versionProbes: [unknown]})).toEqual([
       'versions in force',
     ]);
     const versionProbes = [
       {...asked, version: 2, sentAt: 5000, endedAt: 5001, isKnown: true},
       {...asked, sentAt: 6000, endedAt: 6001, isKnown: true},
     ];
-    expect(violatedGuarantees({markers: versionProbes})).toEqual([
+    expect(violatedGuarantees({versionProbes})).toEqual([
       'no version rollback',
     ]);
     const restarted = versionProbes.map((probe, life) => ({...probe, life}));
-    expect(violatedGuarantees({markers: restarted})).toEqual([]);
+    expect(violatedGuarantees({versionProbes: restarted})).toEqual([]);
   });
 
   it('report more retries in a window than the retry budget allows', () => {
--- a/packages/tools/src/soak/applyFault.ts
+++ b/packages/tools/src/soak/applyFault.ts
@@ -23,28 +23,31 @@
   const {store, recorder} = targets;
   switch (fault.kind) {
     case 'store':
-      await recorder.trouble('', false, fault.mood, () =>
-        store.misbehave(fault.mood, fault.lasts),
+      await recorder.recordDisruption('', false, fault.mode, () =>
+        store.applyMode(fault.mode, fault.durationMilliseconds),
       );
       return;
-    case 'store-forgets':
-      store.forget();
+    case 'store-history-dropped':
+      store.dropHistory();
       return;
     case 'store-restored':
-      await recorder.trouble('', false, fault.kind, () =>
-        store.restore(fault.awayFor, fault.lost),
+      await recorder.recordDisruption('', false, fault.kind, () =>
+        store.restore(fault.unavailableMilliseconds, fault.lost),
       );
       return;
     case 'configure':
-      store.configure();
+      store.writeNextVersion();
       return;
-    case 'other-record':
-      store.writeOther(targets.boxes[fault.box]?.name ?? '', fault.value);
+    case 'overwritten-record':
+      store.overwriteBoxRecord(
+        targets.boxes[fault.box]?.name ?? '',
+        fault.value,
+      );
       return;
-    case 'other-announcement':
+    case 'modified-announcement':
       // Nodes keep the valid announcement, so no disruption is recorded that
       // would relax the checks.
-      await targets.boxes[fault.box]?.upstreams.misstate(fault.fields);
+      await targets.boxes[fault.box]?.upstreams.announceModified(fault.fields);
       return;
     default: {
       const box = targets.boxes[fault.box];
@@ -58,7 +61,7 @@
 /** Faults of a single box that count as disruptions. */
 type BoxFault = Exclude<
   PlannedFault & {readonly box: number},
-  {readonly kind: 'other-announcement' | 'other-record'}
+  {readonly kind: 'modified-announcement' | 'overwritten-record'}
 >;
 
 /** Operator actions, which are guaranteed to lose no call. */
@@ -74,7 +77,7 @@
   fault: BoxFault,
 ): Promise<void> {
   const isPlanned = PLANNED_KINDS.has(fault.kind);
-  await recorder.trouble(box.name, isPlanned, fault.kind, () =>
+  await recorder.recordDisruption(box.name, isPlanned, fault.kind, () =>
     injectBoxFault(recorder, box, fault),
   );
 }
@@ -87,23 +90,23 @@
   switch (fault.kind) {
     case 'kill':
       await box.process.kill();
-      await pause(fault.downFor);
+      await pause(fault.downMilliseconds);
       box.process.start();
       break;
     case 'stop':
-      recorder.stopped(await box.process.stop());
-      await pause(fault.downFor);
+      recorder.recordStop(await box.process.stop());
+      await pause(fault.downMilliseconds);
       box.process.start();
       break;
     case 'pause':
-      await box.process.pause(fault.lasts);
+      await box.process.pause(fault.durationMilliseconds);
       break;
     case 'reload':
-      box.reload(fault.signals);
+      box.reload(fault.sendsSignal);
       break;
     case 'link':
       box.link(fault.link).setFault(fault.fault);
-      await pause(fault.lasts);
+      await pause(fault.durationMilliseconds);
       box.link(fault.link).setFault(HEALTHY_LINK);
       break;
     case 'upstream':
@@ -124,12 +127,12 @@
 async function injectUpstreamFault(
   box: SoakBox,
   {
-    mood: mode,
+    mode,
     share,
-    lasts: durationMilliseconds,
+    durationMilliseconds,
   }: PlannedFault & {readonly kind: 'upstream'},
 ): Promise<void> {
-  const standIn = box.upstreams.present?.standIn;
+  const standIn = box.upstreams.current?.standIn;
   if (standIn === undefined) {
     return;
   }
--- a/packages/tools/src/soak/boxProcess.ts
+++ b/packages/tools/src/soak/boxProcess.ts
@@ -6,8 +6,8 @@
 import {closeSync, openSync} from 'node:fs';
 import {setTimeout as pause} from 'node:timers/promises';
 import {fileURLToPath} from 'node:url';
-import {endTogetherWith} from '../harness/startedProcesses.js';
-import type {ExitFact, StopFact} from './soakFacts.js';
+import {killOnExit} from '../harness/killOnExit.js';
+import type {ExitRecord, StopRecord} from './soakHistory.js';
 
 /** Path of the built node bundle. */
 export const NODE_BUNDLE = fileURLToPath(
@@ -37,9 +37,9 @@
   /** Arguments of the Node.js runtime; by default, the built bundle. */
   readonly command?: readonly string[];
   /** Writes the settings of a start; returns the environment variables. */
-  readonly laySettings: () => Readonly<Record<string, string>>;
+  readonly prepareEnvironment: () => Readonly<Record<string, string>>;
   readonly isOver: () => boolean;
-  readonly onUnaskedExit: (exit: ExitFact) => void;
+  readonly onUnexpectedExit: (exit: ExitRecord) => void;
 }
 
 /** Runs at most one process of its box at a time. */
@@ -72,7 +72,7 @@
     this.starts += 1;
     this.spawnedAt = Date.now();
     this.process = child;
-    endTogetherWith(child);
+    killOnExit(child);
     this.isEnding = false;
     this.exit = new Promise((resolve) =>
       child.once('exit', (code) => {
@@ -91,7 +91,7 @@
   }
 
   /** Performs a planned stop; undefined when the node is not running. */
-  async stop(): Promise<StopFact | undefined> {
+  async stop(): Promise<StopRecord | undefined> {
     const child = this.process;
     if (child === undefined) {
       return undefined;
@@ -120,7 +120,7 @@
   }
 
   /** Sends SIGHUP, unless the node may not have its signal handler yet. */
-  hangUp(): void {
+  signalReload(): void {
     if (Date.now() - this.spawnedAt > RUNTIME_START_MILLISECONDS) {
       this.process?.kill('SIGHUP');
     }
@@ -134,11 +134,7 @@
   }
 
   private spawn(): ChildProcess {
-    const {
-      logFile,
-      laySettings: prepareEnvironment,
-      command = [NODE_BUNDLE],
-    } = this.options;
+    const {logFile, prepareEnvironment, command = [NODE_BUNDLE]} = this.options;
     const variables = prepareEnvironment();
     const log = openSync(logFile, 'a');
     const child = spawn(process.execPath, [...command], {
@@ -151,7 +147,7 @@
 
   /** Restarts a process that exited unexpectedly, as on a real box. */
   private handleExit(exitCode: number | null): void {
-    const {box, isOver, onUnaskedExit: onUnexpectedExit} = this.options;
+    const {box, isOver, onUnexpectedExit} = this.options;
     if (this.isEnding || isOver()) {
       return;
     }
--- a/packages/tools/src/soak/boxUpstreams.ts
+++ b/packages/tools/src/soak/boxUpstreams.ts
@@ -5,7 +5,7 @@
 import {UpstreamAnnouncer, UpstreamStandIn} from '@lockpin/platform-stand-ins';
 import type {RandomSource} from '@lockpin/types';
 import type {LinkProxy} from './linkProxy.js';
-import type {DrainFact} from './soakFacts.js';
+import type {DrainRecord} from './soakHistory.js';
 
 /** Service time of a request. */
 const WORK_MILLISECONDS = 15;
@@ -22,7 +22,7 @@
 const LINGER_MILLISECONDS = 1500;
 
 /** One upstream process of a box. */
-export interface UpstreamLife {
+export interface UpstreamInstance {
   /** Unique identity of the process, even among restarts under the same id. */
   readonly process: string;
   readonly standIn: UpstreamStandIn;
@@ -43,23 +43,23 @@
   /** Limit after an acknowledged drain for calls to stop arriving. */
   readonly drainMilliseconds: number;
   readonly isOver: () => boolean;
-  readonly onDrained: (drain: DrainFact) => void;
+  readonly onDrained: (drain: DrainRecord) => void;
 }
 
 /** Runs at most one upstream of its box at a time. */
 export class BoxUpstreams {
-  private readonly instances: UpstreamLife[] = [];
+  private readonly instances: UpstreamInstance[] = [];
   private linkAddress = '';
 
   constructor(private readonly options: BoxUpstreamsOptions) {}
 
   /** All upstreams so far, ending with the current one. */
-  get all(): readonly UpstreamLife[] {
+  get all(): readonly UpstreamInstance[] {
     return this.instances;
   }
 
   /** The current upstream. */
-  get present(): UpstreamLife | undefined {
+  get current(): UpstreamInstance | undefined {
     return this.instances.at(-1);
   }
 
@@ -70,10 +70,10 @@
   }
 
   /** Announces the current upstream periodically until the soak is over. */
-  async keepAnnouncing(): Promise<void> {
+  async announcePeriodically(): Promise<void> {
     const {announcementAddress, isOver} = this.options;
     while (!isOver()) {
-      const {present: current} = this;
+      const {current} = this;
       if (current !== undefined && current.state !== 'gone') {
         await current.announcer.say(announcementAddress, current.state);
       }
@@ -83,7 +83,7 @@
 
   /** Drains the upstream, lets it leave and starts its replacement. */
   async replace(): Promise<void> {
-    const leaving = this.present;
+    const leaving = this.current;
     if (leaving?.state !== 'ready') {
       return;
     }
@@ -100,14 +100,14 @@
   }
 
   /** Sends an announcement with invalid fields in the upstream's name. */
-  async misstate(fields: object): Promise<void> {
+  async announceModified(fields: object): Promise<void> {
     const {announcementAddress} = this.options;
-    await this.present?.announcer.announceModified(announcementAddress, fields);
+    await this.current?.announcer.announceModified(announcementAddress, fields);
   }
 
   /** Stops the upstream without notice and starts its replacement. */
   async crash(keepsId = false): Promise<void> {
-    const previous = this.present;
+    const previous = this.current;
     if (previous !== undefined) {
       previous.state = 'gone';
       previous.standIn.stop();
@@ -123,7 +123,7 @@
     this.instances.forEach(({standIn}) => standIn.stop());
   }
 
-  private async announceDrain({announcer}: UpstreamLife): Promise<boolean> {
+  private async announceDrain({announcer}: UpstreamInstance): Promise<boolean> {
     const {announcementAddress, isOver} = this.options;
     const deadline = Date.now() + DRAIN_TIMEOUT_MILLISECONDS;
     while (Date.now() < deadline && !isOver()) {
--- a/packages/tools/src/soak/checkConfiguration.ts
+++ b/packages/tools/src/soak/checkConfiguration.ts
@@ -1,18 +1,18 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
 /** Checks that configuration versions apply in time and never roll back. */
 
-import {isCalm} from './calmSpans.js';
-import {broken} from './soakFacts.js';
+import {isUndisrupted} from './isUndisrupted.js';
+import {createViolation} from './soakHistory.js';
 import type {
-  MarkerFact,
+  VersionProbe,
   SoakBounds,
-  SoakFacts,
+  SoakHistory,
   Violation,
-} from './soakFacts.js';
+} from './soakHistory.js';
 
 /** Returns violations of the configuration guarantees. */
 export function checkConfiguration(
-  history: SoakFacts,
+  history: SoakHistory,
   bounds: SoakBounds,
 ): readonly Violation[] {
   return [
@@ -23,8 +23,8 @@
 
 /** An undisrupted box must apply the newest version within the limit. */
 function checkInForce(
-  {markers: versionProbes, versions, troubles: disruptions}: SoakFacts,
-  {applyMilliseconds, contactMilliseconds: settleMilliseconds}: SoakBounds,
+  {versionProbes, versions, disruptions}: SoakHistory,
+  {applyMilliseconds, settleMilliseconds}: SoakBounds,
 ): readonly Violation[] {
   return versionProbes
     .filter(({isKnown, version, sentAt, endedAt}) => {
@@ -38,7 +38,7 @@
       );
     })
     .filter(({box, sentAt}) =>
-      isCalm(
+      isUndisrupted(
         disruptions,
         box,
         sentAt - settleMilliseconds - applyMilliseconds,
@@ -46,7 +46,7 @@
       ),
     )
     .map(({box, version, sentAt}) =>
-      broken(
+      createViolation(
         'versions in force',
         box,
         `version ${version} not in force at ${sentAt}`,
@@ -56,11 +56,11 @@
 
 /** Within one process, no older version may be observed after a newer one. */
 function checkNoRollback(
-  {markers: versionProbes}: SoakFacts,
+  {versionProbes}: SoakHistory,
   {rollbackMilliseconds}: SoakBounds,
 ): readonly Violation[] {
   const known = versionProbes.filter(({isKnown}) => isKnown === true);
-  const isNewer = (probe: MarkerFact, other: MarkerFact): boolean =>
+  const isNewer = (probe: VersionProbe, other: VersionProbe): boolean =>
     other.box === probe.box &&
     other.life === probe.life &&
     other.version > probe.version &&
@@ -68,7 +68,7 @@
   return known
     .filter((probe) => known.some((other) => isNewer(probe, other)))
     .map(({box, version, sentAt}) =>
-      broken(
+      createViolation(
         'no version rollback',
         box,
         `version ${version} observed again at ${sentAt}`,
--- a/packages/tools/src/soak/checkFacts.ts
+++ b/packages/tools/src/soak/checkHistory.ts
@@ -1,18 +1,18 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
 /** Checks the recorded history of a soak against the guarantees. */
 
-import {isCalm} from './calmSpans.js';
+import {isUndisrupted} from './isUndisrupted.js';
 import {checkConfiguration} from './checkConfiguration.js';
 import {checkRetries} from './checkRetries.js';
-import {broken, isServed} from './soakFacts.js';
+import {createViolation, isServed} from './soakHistory.js';
 import type {
-  CallFact,
-  RunFact,
+  CallRecord,
+  RunRecord,
   SoakBounds,
-  SoakFacts,
-  TroubleFact,
+  SoakHistory,
+  DisruptionRecord,
   Violation,
-} from './soakFacts.js';
+} from './soakHistory.js';
 
 /** Share of the calls of the steady-state phase that must be served. */
 const MINIMUM_SERVED_SHARE = 0.95;
@@ -22,8 +22,8 @@
 const SUCCESS_STATUS_END = 300;
 
 /** Returns every violation; empty when all guarantees hold. */
-export function checkFacts(
-  history: SoakFacts,
+export function checkHistory(
+  history: SoakHistory,
   bounds: SoakBounds,
   answerBody: (requestId: string) => string,
 ): readonly Violation[] {
@@ -32,12 +32,16 @@
     ...history.calls.flatMap((call) => [
       ...checkRuns(call, runs),
       ...checkAnswer(call, runs, answerBody),
-      ...checkTimeLimit(call, history.troubles, bounds),
+      ...checkTimeLimit(call, history.disruptions, bounds),
     ]),
     ...checkStops(history),
     ...checkLosses(history, runs, bounds),
-    ...history.unasked.map(({box, exitCode}) =>
-      broken('no unexpected exits', box, `exit code ${String(exitCode)}`),
+    ...history.unexpectedExits.map(({box, exitCode}) =>
+      createViolation(
+        'no unexpected exits',
+        box,
+        `exit code ${String(exitCode)}`,
+      ),
     ),
     ...checkDrains(history, bounds),
     ...checkConfiguration(history, bounds),
@@ -46,7 +50,9 @@
   ];
 }
 
-function runsByRequest(runs: readonly RunFact[]): ReadonlyMap<string, number> {
+function runsByRequest(
+  runs: readonly RunRecord[],
+): ReadonlyMap<string, number> {
   const counts = new Map<string, number>();
   for (const {requestId} of runs) {
     counts.set(requestId, (counts.get(requestId) ?? 0) + 1);
@@ -55,17 +61,17 @@
 }
 
 function checkRuns(
-  {requestId, isRepeatable}: CallFact,
+  {requestId, isRepeatable}: CallRecord,
   runs: ReadonlyMap<string, number>,
 ): readonly Violation[] {
   const count = runs.get(requestId) ?? 0;
   return isRepeatable || count <= 1
     ? []
-    : [broken('at most once', requestId, `ran ${count} times`)];
+    : [createViolation('at most once', requestId, `ran ${count} times`)];
 }
 
 function checkAnswer(
-  {requestId, isRepeatable, end}: CallFact,
+  {requestId, isRepeatable, end}: CallRecord,
   runs: ReadonlyMap<string, number>,
   answerBody: (requestId: string) => string,
 ): readonly Violation[] {
@@ -77,7 +83,7 @@
   const hasRun = (runs.get(requestId) ?? 0) > 0;
   if (saysNotRun && hasRun && !isRepeatable) {
     violations.push(
-      broken(
+      createViolation(
         'truthful refusals',
         requestId,
         `status ${status}, but the request ran`,
@@ -88,7 +94,7 @@
     status < SUCCESS_STATUS_END && status >= SUCCESS_STATUS_START;
   if (isSuccess && (!hasProof || body !== answerBody(requestId))) {
     violations.push(
-      broken(
+      createViolation(
         'complete answers',
         requestId,
         `status ${status} with body ${body}`,
@@ -97,7 +103,7 @@
   }
   if (end.requestId !== undefined && end.requestId !== requestId) {
     violations.push(
-      broken(
+      createViolation(
         'matching answers',
         requestId,
         `got the answer to ${end.requestId}`,
@@ -109,28 +115,31 @@
 
 /** An undisrupted box must give a final answer within the route's timeout. */
 function checkTimeLimit(
-  call: CallFact,
-  disruptions: readonly TroubleFact[],
-  {contactMilliseconds: settleMilliseconds, lateMilliseconds}: SoakBounds,
+  call: CallRecord,
+  disruptions: readonly DisruptionRecord[],
+  {settleMilliseconds, lateMilliseconds}: SoakBounds,
 ): readonly Violation[] {
   const {requestId, box, sentAt, endedAt, timeoutMilliseconds} = call;
   const durationMilliseconds = endedAt - sentAt;
   const isLate = durationMilliseconds > timeoutMilliseconds + lateMilliseconds;
   const from = sentAt - settleMilliseconds;
-  return isLate && isCalm(disruptions, box, from, endedAt)
-    ? [broken('time limits', requestId, `${durationMilliseconds} ms at ${box}`)]
+  return isLate && isUndisrupted(disruptions, box, from, endedAt)
+    ? [
+        createViolation(
+          'time limits',
+          requestId,
+          `${durationMilliseconds} ms at ${box}`,
+        ),
+      ]
     : [];
 }
 
-function isUnplanned({isPlanned}: TroubleFact): boolean {
+function isUnplanned({isPlanned}: DisruptionRecord): boolean {
   return !isPlanned;
 }
 
 /** A planned stop must end in time and with exit code 0. */
-function checkStops({
-  stops,
-  troubles: disruptions,
-}: SoakFacts): readonly Violation[] {
+function checkStops({stops, disruptions}: SoakHistory): readonly Violation[] {
   return (
     stops
       // A process without a signal handler yet is ended by the signal itself.
@@ -138,22 +147,19 @@
         exitCode === null ? wasKilled : exitCode !== 0,
       )
       .filter(({box, signalledAt, exitedAt}) =>
-        isCalm(disruptions, box, signalledAt, exitedAt, isUnplanned),
+        isUndisrupted(disruptions, box, signalledAt, exitedAt, isUnplanned),
       )
       .map(({box, exitCode}) =>
-        broken('planned stops', box, `exit code ${String(exitCode)}`),
+        createViolation('planned stops', box, `exit code ${String(exitCode)}`),
       )
   );
 }
 
 /** A planned stop must not break the connection of a call in progress. */
 function checkLosses(
-  {calls, troubles: disruptions}: SoakFacts,
+  {calls, disruptions}: SoakHistory,
   runs: ReadonlyMap<string, number>,
-  {
-    contactMilliseconds: settleMilliseconds,
-    lossMilliseconds: stopRaceMilliseconds,
-  }: SoakBounds,
+  {settleMilliseconds, stopRaceMilliseconds}: SoakBounds,
 ): readonly Violation[] {
   return calls
     .filter(({end}) => end.kind === 'broken')
@@ -162,7 +168,7 @@
       return hasRun || endedAt - sentAt > stopRaceMilliseconds;
     })
     .filter(({box, sentAt, endedAt}) =>
-      isCalm(
+      isUndisrupted(
         disruptions,
         box,
         sentAt - settleMilliseconds,
@@ -171,7 +177,7 @@
       ),
     )
     .map(({requestId, box, sentAt, endedAt}) =>
-      broken(
+      createViolation(
         'no lost calls',
         requestId,
         `connection to ${box} broke after ${endedAt - sentAt} ms`,
@@ -181,7 +187,7 @@
 
 /** Calls must stop arriving within the limit after an acknowledged drain. */
 function checkDrains(
-  {drains, arrivals}: SoakFacts,
+  {drains, arrivals}: SoakHistory,
   {drainMilliseconds}: SoakBounds,
 ): readonly Violation[] {
   return drains.flatMap(({lifetime, acknowledgedAt}) =>
@@ -192,7 +198,7 @@
           arrival.at > acknowledgedAt + drainMilliseconds,
       )
       .map(({requestId, at}) =>
-        broken(
+        createViolation(
           'drains',
           requestId,
           `reached ${lifetime} ${at - acknowledgedAt} ms after the drain`,
@@ -205,9 +211,9 @@
 function checkRecovery({
   calls,
   arrivals,
-  calmFrom: steadyStateFrom,
+  steadyStateFrom,
   readyLifetimes,
-}: SoakFacts): readonly Violation[] {
+}: SoakHistory): readonly Violation[] {
   const finalCalls = calls.filter(({sentAt}) => sentAt >= steadyStateFrom);
   const served = finalCalls.filter(({end}) => isServed(end));
   const idle = readyLifetimes.filter(
@@ -220,7 +226,7 @@
     ...(served.length < finalCalls.length * MINIMUM_SERVED_SHARE ||
     finalCalls.length === 0
       ? [
-          broken(
+          createViolation(
             'recovery',
             'all',
             `${served.length} of ${finalCalls.length} served`,
@@ -228,7 +234,7 @@
         ]
       : []),
     ...idle.map((lifetime) =>
-      broken('recovery', lifetime, 'received no calls'),
+      createViolation('recovery', lifetime, 'received no calls'),
     ),
   ];
 }
--- a/packages/tools/src/soak/checkRetries.ts
+++ b/packages/tools/src/soak/checkRetries.ts
@@ -1,17 +1,17 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
 /** Checks that the fleet stays within its retry budget in every window. */
 
-import {broken} from './soakFacts.js';
+import {createViolation} from './soakHistory.js';
 import type {
-  ArrivalFact,
+  ArrivalRecord,
   SoakBounds,
-  SoakFacts,
+  SoakHistory,
   Violation,
-} from './soakFacts.js';
+} from './soakHistory.js';
 
 /** Returns at most one violation for each service. */
 export function checkRetries(
-  {calls, arrivals}: SoakFacts,
+  {calls, arrivals}: SoakHistory,
   bounds: SoakBounds,
 ): readonly Violation[] {
   const services = [...new Set(arrivals.map(({service}) => service))];
@@ -25,12 +25,12 @@
     const excess = findExcess(sent, repeatTimes(serviceArrivals), bounds);
     return excess === undefined
       ? []
-      : [broken('retry budget', service, excess)];
+      : [createViolation('retry budget', service, excess)];
   });
 }
 
 /** Times at which requests reached an upstream again. */
-function repeatTimes(arrivals: readonly ArrivalFact[]): readonly number[] {
+function repeatTimes(arrivals: readonly ArrivalRecord[]): readonly number[] {
   const seen = new Set<string>();
   const times: number[] = [];
   for (const {requestId, at} of [...arrivals].sort((a, b) => a.at - b.at)) {
--- a/packages/tools/src/soak/faultPlan.ts
+++ b/packages/tools/src/soak/faultPlan.ts
@@ -11,32 +11,52 @@
 
 /** A scheduled fault; `at` is in milliseconds from the start of the faults. */
 export type PlannedFault = {readonly at: number} & (
-  | {readonly kind: 'kill'; readonly box: number; readonly downFor: number}
-  | {readonly kind: 'stop'; readonly box: number; readonly downFor: number}
-  | {readonly kind: 'pause'; readonly box: number; readonly lasts: number}
+  | {
+      readonly kind: 'kill';
+      readonly box: number;
+      readonly downMilliseconds: number;
+    }
+  | {
+      readonly kind: 'stop';
+      readonly box: number;
+      readonly downMilliseconds: number;
+    }
+  | {
+      readonly kind: 'pause';
+      readonly box: number;
+      readonly durationMilliseconds: number;
+    }
   /** Changes the settings file, with or without a signal to the node. */
-  | {readonly kind: 'reload'; readonly box: number; readonly signals: boolean}
+  | {
+      readonly kind: 'reload';
+      readonly box: number;
+      readonly sendsSignal: boolean;
+    }
   | {
       readonly kind: 'link';
       readonly box: number;
       readonly link: LinkName;
       readonly fault: LinkFault;
-      readonly lasts: number;
+      readonly durationMilliseconds: number;
+    }
+  | {
+      readonly kind: 'store';
+      readonly mode: StoreMode;
+      readonly durationMilliseconds: number;
     }
-  | {readonly kind: 'store'; readonly mood: StoreMode; readonly lasts: number}
-  | {readonly kind: 'store-forgets'}
+  | {readonly kind: 'store-history-dropped'}
   /** The store is unavailable, then comes back from an older copy. */
   | {
       readonly kind: 'store-restored';
-      readonly awayFor: number;
+      readonly unavailableMilliseconds: number;
       readonly lost: number;
     }
   | {
       readonly kind: 'upstream';
       readonly box: number;
-      readonly mood: UpstreamMode;
+      readonly mode: UpstreamMode;
       readonly share: number;
-      readonly lasts: number;
+      readonly durationMilliseconds: number;
     }
   /** The upstream drains and leaves; one with a new id replaces it. */
   | {readonly kind: 'replace-upstream'; readonly box: number}
@@ -46,13 +66,13 @@
   | {readonly kind: 'restart-upstream'; readonly box: number}
   /** Another writer sends an announcement in the upstream's name. */
   | {
-      readonly kind: 'other-announcement';
+      readonly kind: 'modified-announcement';
       readonly box: number;
       readonly fields: object;
     }
   /** Another writer overwrites the record of a box. */
   | {
-      readonly kind: 'other-record';
+      readonly kind: 'overwritten-record';
       readonly box: number;
       readonly value: string;
     }
@@ -127,21 +147,21 @@
       at: time,
       kind: 'kill',
       box: randomIndex(random, boxes),
-      downFor: randomDuration(random),
+      downMilliseconds: randomDuration(random),
     })),
   (random, at, boxes) =>
     inSeries(random, at, (time) => ({
       at: time,
       kind: 'stop',
       box: randomIndex(random, boxes),
-      downFor: randomDuration(random) / 2,
+      downMilliseconds: randomDuration(random) / 2,
     })),
   (random, at, boxes) => [
     {
       at,
       kind: 'pause',
       box: randomIndex(random, boxes),
-      lasts: randomDuration(random),
+      durationMilliseconds: randomDuration(random),
     },
   ],
   (random, at, boxes) => [
@@ -149,7 +169,7 @@
       at,
       kind: 'reload',
       box: randomIndex(random, boxes),
-      signals: random() < 0.5,
+      sendsSignal: random() < 0.5,
     },
   ],
   (random, at, boxes) => [
@@ -159,26 +179,26 @@
       box: randomIndex(random, boxes),
       link: randomItem(random, LINKS),
       fault: drawLinkFault(random),
-      lasts: randomDuration(random),
+      durationMilliseconds: randomDuration(random),
     },
   ],
   (random, at) => [
     {
       at,
       kind: 'store',
-      mood: randomItem(random, STORE_MODES),
-      lasts: randomDuration(random),
+      mode: randomItem(random, STORE_MODES),
+      durationMilliseconds: randomDuration(random),
     },
   ],
-  (_random, at) => [{at, kind: 'store-forgets'}],
+  (_random, at) => [{at, kind: 'store-history-dropped'}],
   (random, at, boxes) => [
     {
       at,
       kind: 'upstream',
       box: randomIndex(random, boxes),
-      mood: randomItem(random, UPSTREAM_MODES),
+      mode: randomItem(random, UPSTREAM_MODES),
       share: MINIMUM_AFFECTED_SHARE + (1 - MINIMUM_AFFECTED_SHARE) * random(),
-      lasts: randomDuration(random),
+      durationMilliseconds: randomDuration(random),
     },
   ],
   (random, at, boxes) => [
@@ -227,7 +247,7 @@
   (random, at, boxes) => [
     {
       at,
-      kind: 'other-announcement',
+      kind: 'modified-announcement',
       box: randomIndex(random, boxes),
       fields: randomItem(random, INVALID_ANNOUNCEMENT_FIELDS),
     },
@@ -235,7 +255,7 @@
   (random, at, boxes) => [
     {
       at,
-      kind: 'other-record',
+      kind: 'overwritten-record',
       box: randomIndex(random, boxes),
       value: randomItem(random, INVALID_RECORD_VALUES),
     },
@@ -248,7 +268,7 @@
     inSeries(random, at, (time) => ({
       at: time,
       kind: 'store-restored',
-      awayFor: randomDuration(random) / 4,
+      unavailableMilliseconds: randomDuration(random) / 4,
       lost: randomDuration(random),
     })),
 ];
@@ -317,7 +337,7 @@
   const kind = randomItem(random, [
     'delayed',
     'silent',
-    'answers-cut',
+    'answers-blocked',
     'resetting',
   ] as const);
   return kind === 'delayed'
--- a/packages/tools/src/soak/calmSpans.ts
+++ b/packages/tools/src/soak/isUndisrupted.ts
@@ -1,15 +1,15 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
 /** Checks time spans for disruptions. */
 
-import type {TroubleFact} from './soakFacts.js';
+import type {DisruptionRecord} from './soakHistory.js';
 
 /** Whether no matching disruption of the box or the store overlaps the span. */
-export function isCalm(
-  disruptions: readonly TroubleFact[],
+export function isUndisrupted(
+  disruptions: readonly DisruptionRecord[],
   box: string,
   from: number,
   until: number,
-  matches: (disruption: TroubleFact) => boolean = () => true,
+  matches: (disruption: DisruptionRecord) => boolean = () => true,
 ): boolean {
   return !disruptions.some(
     (disruption) =>
--- a/packages/tools/src/soak/linkProxy.ts
+++ b/packages/tools/src/soak/linkProxy.ts
@@ -14,7 +14,7 @@
   /** No data passes in either direction until the fault is cleared. */
   | {readonly kind: 'silent'}
   /** Requests pass; answers are held back until the fault is cleared. */
-  | {readonly kind: 'answers-cut'}
+  | {readonly kind: 'answers-blocked'}
   /** Open and new connections are reset. */
   | {readonly kind: 'resetting'};
 
@@ -116,7 +116,7 @@
   private flush(direction: Direction): void {
     const {isAnswers, buffered, to} = direction;
     const {kind} = this.fault;
-    if (kind === 'silent' || (kind === 'answers-cut' && isAnswers)) {
+    if (kind === 'silent' || (kind === 'answers-blocked' && isAnswers)) {
       return;
     }
     buffered.splice(0).forEach((bytes) => this.write(direction, bytes));
--- a/packages/tools/src/soak/main.ts
+++ b/packages/tools/src/soak/main.ts
@@ -86,7 +86,7 @@
   console.log(
     `seed ${seed}: ${faults} faults, ${served} of ${calls} calls served, ${verdict}`,
   );
-  violations.forEach(({promise: guarantee, subject, detail}) =>
+  violations.forEach(({guarantee, subject, detail}) =>
     console.log(`  ${guarantee}: ${subject}: ${detail}`),
   );
 }
--- a/packages/tools/src/soak/versionWatch.ts
+++ b/packages/tools/src/soak/probeVersions.ts
@@ -6,7 +6,7 @@
 import type {SoakBox} from './soakBox.js';
 import {sendRequest} from './soakCaller.js';
 import {markerPath, soakRoutes, SOAK_SERVICES} from './soakConfiguration.js';
-import type {CallEnd} from './soakFacts.js';
+import type {CallEnd} from './soakHistory.js';
 import type {SoakRecorder} from './soakRecorder.js';
 
 /** Interval of probes for the two newest versions. */
@@ -19,7 +19,7 @@
 const NOT_READY_STATUS = 503;
 
 /** Options of the version probes of one box. */
-export interface VersionWatch {
+export interface VersionProbeOptions {
   readonly box: SoakBox;
   /** The last version written. */
   readonly newest: () => number;
@@ -28,8 +28,8 @@
 }
 
 /** Probes a box periodically until the soak is over. */
-export async function watchVersions(
-  options: VersionWatch,
+export async function probeVersions(
+  options: VersionProbeOptions,
   isOver: () => boolean,
 ): Promise<void> {
   const agent = new Agent({keepAlive: false});
@@ -44,7 +44,7 @@
 }
 
 async function probeVersion(
-  {box, recorder, nextId}: VersionWatch,
+  {box, recorder, nextId}: VersionProbeOptions,
   agent: Agent,
   version: number,
 ): Promise<void> {
@@ -62,7 +62,7 @@
   const probe = {box: box.name, sentAt, endedAt: Date.now()};
   // Discards the probe if the process restarted in the meantime.
   if (life === box.process.life) {
-    recorder.markers.push({...probe, life, version, isKnown});
+    recorder.versionProbes.push({...probe, life, version, isKnown});
   }
   if (isKnown === false) {
     return;
--- a/packages/tools/src/soak/runSoak.ts
+++ b/packages/tools/src/soak/runSoak.ts
@@ -6,26 +6,26 @@
 import {answerBody} from '@lockpin/platform-stand-ins';
 import {seededRandom} from '@lockpin/utils';
 import {freeAddresses} from '../harness/ports.js';
-import {until} from '../harness/until.js';
+import {waitUntil} from '../harness/waitUntil.js';
 import {applyFault} from './applyFault.js';
-import {checkFacts} from './checkFacts.js';
+import {checkHistory} from './checkHistory.js';
 import {planFaults} from './faultPlan.js';
 import type {SoakSize} from './faultPlan.js';
 import {SoakBox} from './soakBox.js';
-import {keepCalling} from './soakCaller.js';
-import {isServed} from './soakFacts.js';
-import type {SoakBounds, Violation} from './soakFacts.js';
+import {runCaller} from './soakCaller.js';
+import {isServed} from './soakHistory.js';
+import type {SoakBounds, Violation} from './soakHistory.js';
 import {SoakRecorder} from './soakRecorder.js';
 import {SoakStore} from './soakStore.js';
-import {watchVersions} from './versionWatch.js';
+import {probeVersions} from './probeVersions.js';
 
 /** The limits that the checks allow, in line with the nodes' settings. */
 export const SOAK_BOUNDS: SoakBounds = {
   drainMilliseconds: 1000,
   applyMilliseconds: 2000,
   rollbackMilliseconds: 250,
-  contactMilliseconds: 3000,
-  lossMilliseconds: 200,
+  settleMilliseconds: 3000,
+  stopRaceMilliseconds: 200,
   lateMilliseconds: 500,
   retryRatio: 0.2,
   retryWindowMilliseconds: 10_000,
@@ -62,7 +62,7 @@
   const boxes = await startBoxes(seed, size, folder, storeAddress, recorder);
   let isOver = false;
   const callers = startCallers(seed, boxes, store, recorder, () => isOver);
-  await until(() => isEveryBoxServed(recorder, boxes));
+  await waitUntil(() => isEveryBoxServed(recorder, boxes));
   const faults = planFaults(seed, size);
   await applyOnSchedule(faults, (fault) =>
     applyFault({boxes, store, recorder}, fault),
@@ -72,7 +72,7 @@
   await pause(STEADY_STATE_MILLISECONDS);
   isOver = true;
   await Promise.all(callers);
-  const history = recorder.facts(boxes, steadyStateFrom);
+  const history = recorder.history(boxes, steadyStateFrom);
   await Promise.all(boxes.map((box) => box.end()));
   store.stop();
   return {
@@ -80,7 +80,7 @@
     calls: history.calls.length,
     served: history.calls.filter(({end}) => isServed(end)).length,
     faults: faults.length,
-    violations: checkFacts(history, SOAK_BOUNDS, answerBody),
+    violations: checkHistory(history, SOAK_BOUNDS, answerBody),
   };
 }
 
@@ -104,7 +104,7 @@
         random: seededRandom(seed * 1000 + index),
         bounds: SOAK_BOUNDS,
         onDrained: (drain) => recorder.drains.push(drain),
-        onUnaskedExit: (exit) => recorder.unasked.push(exit),
+        onUnexpectedExit: (exit) => recorder.unexpectedExits.push(exit),
       }),
     );
   }
@@ -123,7 +123,7 @@
   const nextId = (): string => `q${seed}-${(requestNumber += 1)}`;
   return boxes.flatMap((box, index) => [
     ...Array.from({length: CALLERS_PER_BOX}, (_, i) =>
-      keepCalling(
+      runCaller(
         {
           box: box.name,
           address: box.callerAddress,
@@ -134,7 +134,7 @@
         isOver,
       ),
     ),
-    watchVersions({box, newest: () => store.version, recorder, nextId}, isOver),
+    probeVersions({box, newest: () => store.version, recorder, nextId}, isOver),
   ]);
 }
 
--- a/packages/tools/src/soak/soakBox.ts
+++ b/packages/tools/src/soak/soakBox.ts
@@ -14,7 +14,7 @@
 import type {LinkName} from './faultPlan.js';
 import {LinkProxy} from './linkProxy.js';
 import {SOAK_SERVICES} from './soakConfiguration.js';
-import type {DrainFact, ExitFact, SoakBounds} from './soakFacts.js';
+import type {DrainRecord, ExitRecord, SoakBounds} from './soakHistory.js';
 
 /** Boxes are assigned to data centres round-robin. */
 const DATA_CENTRE_COUNT = 2;
@@ -38,8 +38,8 @@
   readonly bounds: SoakBounds;
   /** Arguments of the Node.js runtime; by default, the built bundle. */
   readonly command?: readonly string[];
-  readonly onDrained: (drain: DrainFact) => void;
-  readonly onUnaskedExit: (exit: ExitFact) => void;
+  readonly onDrained: (drain: DrainRecord) => void;
+  readonly onUnexpectedExit: (exit: ExitRecord) => void;
 }
 
 /** Exists for the whole soak, across restarts of its process. */
@@ -80,7 +80,7 @@
     this.storeLinkAddress = await this.links.store.start();
     await this.upstreams.start();
     this.process.start();
-    void this.upstreams.keepAnnouncing();
+    void this.upstreams.announcePeriodically();
   }
 
   /** Stops everything that the box started. */
@@ -96,7 +96,7 @@
     this.reloads += 1;
     this.writeSettings();
     if (sendsSignal) {
-      this.process.hangUp();
+      this.process.signalReload();
     }
   }
 
@@ -106,10 +106,10 @@
       ...(command === undefined ? {} : {command}),
       box: this.name,
       logFile: join(this.options.folder, `${this.name}.log`),
-      laySettings: () =>
+      prepareEnvironment: () =>
         settingsEnvironment(this.writeSettings(), this.advertisedAddress),
       isOver: () => this.isOver,
-      onUnaskedExit: this.options.onUnaskedExit,
+      onUnexpectedExit: this.options.onUnexpectedExit,
     });
   }
 
--- a/packages/tools/src/soak/soakCaller.ts
+++ b/packages/tools/src/soak/soakCaller.ts
@@ -9,7 +9,7 @@
 import {parseAddress} from '@lockpin/utils';
 import {SOAK_HOST, soakRoutes} from './soakConfiguration.js';
 import type {SoakRoute} from './soakConfiguration.js';
-import type {CallEnd, CallFact} from './soakFacts.js';
+import type {CallEnd, CallRecord} from './soakHistory.js';
 
 /** Mean pause between the calls of one caller. */
 const MEAN_PAUSE_MILLISECONDS = 70;
@@ -99,17 +99,17 @@
 }
 
 /** Options of a caller. */
-export interface CallerPlace {
+export interface CallerOptions {
   readonly box: string;
   readonly address: string;
   readonly random: RandomSource;
   readonly nextId: () => string;
-  readonly record: (call: CallFact) => void;
+  readonly record: (call: CallRecord) => void;
 }
 
 /** Sends calls one after another until the soak is over. */
-export async function keepCalling(
-  options: CallerPlace,
+export async function runCaller(
+  options: CallerOptions,
   isOver: () => boolean,
 ): Promise<void> {
   const agent = new Agent({keepAlive: true, maxSockets: 1});
@@ -125,7 +125,10 @@
   agent.destroy();
 }
 
-async function callOnce(options: CallerPlace, agent: Agent): Promise<CallEnd> {
+async function callOnce(
+  options: CallerOptions,
+  agent: Agent,
+): Promise<CallEnd> {
   const {box, address, random, nextId, record} = options;
   const routes = soakRoutes();
   const route = routes[Math.floor(random() * routes.length)] as SoakRoute;
--- a/packages/tools/src/soak/soakFacts.ts
+++ b/packages/tools/src/soak/soakHistory.ts
@@ -26,7 +26,7 @@
 }
 
 /** One call, as its caller saw it. */
-export interface CallFact {
+export interface CallRecord {
   readonly requestId: string;
   readonly box: string;
   readonly service: string;
@@ -39,26 +39,26 @@
 }
 
 /** One execution of a request at an upstream. */
-export interface RunFact {
+export interface RunRecord {
   readonly requestId: string;
   readonly lifetime: string;
   readonly at: number;
 }
 
 /** A request that reached an upstream, executed or not. */
-export interface ArrivalFact extends RunFact {
+export interface ArrivalRecord extends RunRecord {
   readonly service: string;
 }
 
 /** Acknowledgement by a node that an upstream is draining or gone. */
-export interface DrainFact {
+export interface DrainRecord {
   readonly lifetime: string;
   readonly box: string;
   readonly acknowledgedAt: number;
 }
 
 /** A request for the marker route of a version. */
-export interface MarkerFact {
+export interface VersionProbe {
   readonly box: string;
   /** Number of starts of the box's process, which identifies the process. */
   readonly life: number;
@@ -70,13 +70,13 @@
 }
 
 /** Confirmation of a version by the store. */
-export interface VersionFact {
+export interface ConfirmedVersion {
   readonly version: number;
   readonly confirmedAt: number;
 }
 
 /** A fault or planned operation that affected a box or the store. */
-export interface TroubleFact {
+export interface DisruptionRecord {
   /** Empty for the store, which affects all boxes. */
   readonly box: string;
   /** Planned operations are guaranteed to lose no call. */
@@ -88,7 +88,7 @@
 }
 
 /** A planned stop of a node process. */
-export interface StopFact {
+export interface StopRecord {
   readonly box: string;
   readonly signalledAt: number;
   readonly exitedAt: number;
@@ -98,25 +98,25 @@
 }
 
 /** An unexpected exit of a node process. */
-export interface ExitFact {
+export interface ExitRecord {
   readonly box: string;
   readonly at: number;
   readonly exitCode: number | null;
 }
 
 /** Everything that the checks use. */
-export interface SoakFacts {
-  readonly calls: readonly CallFact[];
-  readonly runs: readonly RunFact[];
-  readonly arrivals: readonly ArrivalFact[];
-  readonly drains: readonly DrainFact[];
-  readonly markers: readonly MarkerFact[];
-  readonly versions: readonly VersionFact[];
-  readonly troubles: readonly TroubleFact[];
-  readonly stops: readonly StopFact[];
-  readonly unasked: readonly ExitFact[];
+export interface SoakHistory {
+  readonly calls: readonly CallRecord[];
+  readonly runs: readonly RunRecord[];
+  readonly arrivals: readonly ArrivalRecord[];
+  readonly drains: readonly DrainRecord[];
+  readonly versionProbes: readonly VersionProbe[];
+  readonly versions: readonly ConfirmedVersion[];
+  readonly disruptions: readonly DisruptionRecord[];
+  readonly stops: readonly StopRecord[];
+  readonly unexpectedExits: readonly ExitRecord[];
   /** Start of the final phase, after all disruptions have ended. */
-  readonly calmFrom: number;
+  readonly steadyStateFrom: number;
   /** Upstreams that were ready at the end of the soak. */
   readonly readyLifetimes: readonly string[];
 }
@@ -130,9 +130,9 @@
   /** Time for which an older version may be observed after a newer one. */
   readonly rollbackMilliseconds: number;
   /** Time without disruption after which the guarantees hold for a box. */
-  readonly contactMilliseconds: number;
+  readonly settleMilliseconds: number;
   /** A broken call that did not run is lost only if it lasted longer. */
-  readonly lossMilliseconds: number;
+  readonly stopRaceMilliseconds: number;
   /** Tolerance for the final answer after the route's timeout. */
   readonly lateMilliseconds: number;
   readonly retryRatio: number;
@@ -142,16 +142,16 @@
 
 /** A violated guarantee. */
 export interface Violation {
-  readonly promise: string;
+  readonly guarantee: string;
   readonly subject: string;
   readonly detail: string;
 }
 
 /** Creates a violation. */
-export function broken(
+export function createViolation(
   guarantee: string,
   subject: string,
   detail: string,
 ): Violation {
-  return {promise: guarantee, subject, detail};
+  return {guarantee, subject, detail};
 }
--- a/packages/tools/src/soak/soakRecorder.ts
+++ b/packages/tools/src/soak/soakRecorder.ts
@@ -3,55 +3,55 @@
 
 import type {SoakBox} from './soakBox.js';
 import type {
-  CallFact,
-  DrainFact,
-  ExitFact,
-  MarkerFact,
-  SoakFacts,
-  StopFact,
-  TroubleFact,
-  VersionFact,
-} from './soakFacts.js';
+  CallRecord,
+  DrainRecord,
+  ExitRecord,
+  VersionProbe,
+  SoakHistory,
+  StopRecord,
+  DisruptionRecord,
+  ConfirmedVersion,
+} from './soakHistory.js';
 
 /** Collects calls, probes, disruptions and exits of one soak. */
 export class SoakRecorder {
-  readonly calls: CallFact[] = [];
-  readonly drains: DrainFact[] = [];
-  readonly markers: MarkerFact[] = [];
-  readonly versions: VersionFact[] = [];
-  readonly troubles: TroubleFact[] = [];
-  readonly unasked: ExitFact[] = [];
-  private readonly stops: StopFact[] = [];
+  readonly calls: CallRecord[] = [];
+  readonly drains: DrainRecord[] = [];
+  readonly versionProbes: VersionProbe[] = [];
+  readonly versions: ConfirmedVersion[] = [];
+  readonly disruptions: DisruptionRecord[] = [];
+  readonly unexpectedExits: ExitRecord[] = [];
+  private readonly stops: StopRecord[] = [];
 
   /** Records a disruption and the time span of the given action. */
-  async trouble(
+  async recordDisruption(
     box: string,
     isPlanned: boolean,
     what: string,
     action: () => Promise<void>,
   ): Promise<void> {
     const from = Date.now();
-    const disruption: TroubleFact = {
+    const disruption: DisruptionRecord = {
       box,
       isPlanned,
       what,
       from,
       until: Number.POSITIVE_INFINITY,
     };
-    this.troubles.push(disruption);
+    this.disruptions.push(disruption);
     await action();
     disruption.until = Date.now();
   }
 
   /** Records a planned stop; undefined when the node was not running. */
-  stopped(stop: StopFact | undefined): void {
+  recordStop(stop: StopRecord | undefined): void {
     if (stop !== undefined) {
       this.stops.push(stop);
     }
   }
 
   /** Returns the history for the checks. */
-  facts(boxes: readonly SoakBox[], steadyStateFrom: number): SoakFacts {
+  history(boxes: readonly SoakBox[], steadyStateFrom: number): SoakHistory {
     const instances = boxes.flatMap(({upstreams}) => upstreams.all);
     const collect = <
       T extends {readonly requestId: string; readonly at: number},
@@ -70,12 +70,12 @@
       runs: collect(({standIn}) => standIn.runs),
       arrivals: collect(({standIn}) => standIn.arrivals),
       drains: this.drains,
-      markers: this.markers,
+      versionProbes: this.versionProbes,
       versions: this.versions,
-      troubles: this.troubles,
+      disruptions: this.disruptions,
       stops: this.stops,
-      unasked: this.unasked,
-      calmFrom: steadyStateFrom,
+      unexpectedExits: this.unexpectedExits,
+      steadyStateFrom,
       readyLifetimes: instances
         .filter(({state}) => state === 'ready')
         .map(({process}) => process),
--- a/packages/tools/src/soak/soakStore.ts
+++ b/packages/tools/src/soak/soakStore.ts
@@ -10,7 +10,7 @@
 } from '@lockpin/platform-stand-ins';
 import type {StoreMode} from '@lockpin/platform-stand-ins';
 import {soakConfiguration} from './soakConfiguration.js';
-import type {VersionFact} from './soakFacts.js';
+import type {ConfirmedVersion} from './soakHistory.js';
 
 /** Delay until the operator rewrites the configuration after a restore. */
 const REWRITE_DELAY_MILLISECONDS = 300;
@@ -21,7 +21,9 @@
   private newestVersion = 0;
   private readonly activeModes: StoreMode[] = [];
 
-  constructor(private readonly onVersion: (version: VersionFact) => void) {}
+  constructor(
+    private readonly onVersion: (version: ConfirmedVersion) => void,
+  ) {}
 
   /** The last version written. */
   get version(): number {
@@ -30,7 +32,7 @@
 
   async start(): Promise<string> {
     const address = await this.standIn.start();
-    this.configure();
+    this.writeNextVersion();
     return address;
   }
 
@@ -39,7 +41,7 @@
   }
 
   /** Writes the next configuration version. */
-  configure(): void {
+  writeNextVersion(): void {
     this.newestVersion += 1;
     const text = soakConfiguration(this.newestVersion);
     this.standIn.put(CONFIGURATION_TOPIC, CONFIGURATION_KEY, text);
@@ -47,7 +49,7 @@
   }
 
   /** Applies a fault mode for a time; of several, the latest takes effect. */
-  async misbehave(mode: StoreMode, milliseconds: number): Promise<void> {
+  async applyMode(mode: StoreMode, milliseconds: number): Promise<void> {
     this.activeModes.push(mode);
     this.standIn.mode = mode;
     await pause(milliseconds);
@@ -60,7 +62,7 @@
     unavailableMilliseconds: number,
     lostMilliseconds: number,
   ): Promise<void> {
-    await this.misbehave('silent', unavailableMilliseconds);
+    await this.applyMode('silent', unavailableMilliseconds);
     this.standIn.restore(lostMilliseconds + unavailableMilliseconds);
     await pause(REWRITE_DELAY_MILLISECONDS);
     const text = soakConfiguration(this.newestVersion);
@@ -68,12 +70,12 @@
   }
 
   /** Overwrites the record of a box as another writer would. */
-  writeOther(box: string, value: string): void {
+  overwriteBoxRecord(box: string, value: string): void {
     this.standIn.put(BOXES_TOPIC, box, value);
   }
 
   /** Drops all history except the newest record of each key. */
-  forget(): void {
+  dropHistory(): void {
     this.standIn.dropHistory();
   }
 }
