--- a/packages/tools/src/__tests__/knownRed.test.ts
+++ b/packages/tools/src/__tests__/knownRed.test.ts
@@ -2,9 +2,9 @@
 /** CI tolerates the listed faults and nothing else. */
 
 import {describe, expect, it} from 'vitest';
-import {judgeTests} from '../ci/judgeTests.js';
-import type {TestReport} from '../ci/judgeTests.js';
-import {readKnownRed} from '../ci/knownRed.js';
+import {evaluateTests} from '../ci/evaluateTests.js';
+import type {TestReport} from '../ci/evaluateTests.js';
+import {parseKnownRed} from '../ci/knownRed.js';
 import type {KnownRed} from '../ci/knownRed.js';
 
 const LINE = 'a.test.ts > works | npm test | it does not | 7';
@@ -33,7 +33,7 @@
 }
 
 function knownFaults(...lines: readonly string[]): readonly KnownRed[] {
-  const read = readKnownRed(lines.join('\n'));
+  const read = parseKnownRed(lines.join('\n'));
   if (!read.ok) {
     throw new Error(JSON.stringify(read.failure));
   }
@@ -41,7 +41,7 @@
 }
 
 function findProblems(tests: TestReport, ...lines: readonly string[]) {
-  return judgeTests('/root', tests, knownFaults(...lines));
+  return evaluateTests('/root', tests, knownFaults(...lines));
 }
 
 describe('the list of known faults', () => {
@@ -67,7 +67,7 @@
       `${LINE} | more`,
       'a.test.ts > works | npm test |  | 7',
     ]) {
-      expect(readKnownRed(line)).toMatchObject({
+      expect(parseKnownRed(line)).toMatchObject({
         failure: {kind: 'malformed', line},
       });
     }
--- a/packages/tools/src/bench/childProcess.ts
+++ b/packages/tools/src/bench/childProcess.ts
@@ -16,7 +16,7 @@
 }
 
 /** In the child: listens on a free port and sends the address to the parent. */
-export function listenAndTell(server: Server): void {
+export function listenAndReportAddress(server: Server): void {
   server.listen(0, LOOPBACK, () => {
     const {port} = server.address() as AddressInfo;
     process.send?.(`${LOOPBACK}:${port}`);
--- a/packages/tools/src/bench/fastUpstream.ts
+++ b/packages/tools/src/bench/fastUpstream.ts
@@ -2,7 +2,7 @@
 /** Upstream process of the benchmark; answers every request immediately. */
 
 import {createServer} from 'node:http';
-import {listenAndTell} from './childProcess.js';
+import {listenAndReportAddress} from './childProcess.js';
 
 const BODY = Buffer.from(JSON.stringify({reading: 4.2, unit: 'celsius'}));
 
@@ -14,4 +14,4 @@
   });
   response.end(BODY);
 });
-listenAndTell(server);
+listenAndReportAddress(server);
--- a/packages/tools/src/bench/passThrough.ts
+++ b/packages/tools/src/bench/passThrough.ts
@@ -4,7 +4,7 @@
 import {createServer} from 'node:http';
 import {Pool} from 'undici';
 import type {Dispatcher} from 'undici';
-import {listenAndTell} from './childProcess.js';
+import {listenAndReportAddress} from './childProcess.js';
 
 const CONNECTIONS = 64;
 const pool = new Pool(`http://${process.argv[2] ?? ''}`, {
@@ -26,4 +26,4 @@
     })
     .catch(() => response.destroy());
 });
-listenAndTell(server);
+listenAndReportAddress(server);
--- a/packages/tools/src/capacity/capacityTables.ts
+++ b/packages/tools/src/capacity/capacityTables.ts
@@ -1,10 +1,10 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
 /** Renders the measured tables of docs/CAPACITY.md. */
 
-import {at} from './fit.js';
+import {evaluateLine} from './fit.js';
 import type {ConfigurationSlopes} from './configurationSlopes.js';
 import type {DecisionCosts} from './decisionSlopes.js';
-import {DAY_SECONDS, LETTER_SIZE, NODE_BUDGET} from './letterSize.js';
+import {DAY_SECONDS, TARGET_SCALE, NODE_BUDGET} from './targetScale.js';
 import type {ProcessPoint} from './processSlopes.js';
 
 /** All capacity measurements. */
@@ -15,8 +15,8 @@
 }
 
 const MEGABYTE = 1024 ** 2;
-const SNAPSHOTS_PER_DAY = LETTER_SIZE.changesPerDay / 500;
-const REPORTS_PER_SECOND = LETTER_SIZE.upstreams / LETTER_SIZE.nodes / 2;
+const SNAPSHOTS_PER_DAY = TARGET_SCALE.changesPerDay / 500;
+const REPORTS_PER_SECOND = TARGET_SCALE.upstreams / TARGET_SCALE.nodes / 2;
 
 /** Renders the tables as Markdown. */
 export function capacityTables(figures: CapacityFigures): string {
@@ -135,16 +135,16 @@
 function roleTable(figures: CapacityFigures): string {
   const {configuration, decisions, processes} = figures;
   const resources =
-    LETTER_SIZE.customers +
-    LETTER_SIZE.services +
-    LETTER_SIZE.routes +
-    LETTER_SIZE.upstreams;
-  const changesPerSecond = LETTER_SIZE.changesPerDay / DAY_SECONDS;
-  const restartsPerSecond = LETTER_SIZE.restartsPerDay / DAY_SECONDS;
-  const heap = at(configuration.heap, resources);
+    TARGET_SCALE.customers +
+    TARGET_SCALE.services +
+    TARGET_SCALE.routes +
+    TARGET_SCALE.upstreams;
+  const changesPerSecond = TARGET_SCALE.changesPerDay / DAY_SECONDS;
+  const restartsPerSecond = TARGET_SCALE.restartsPerDay / DAY_SECONDS;
+  const heap = evaluateLine(configuration.heap, resources);
   const change = configuration.points.at(-1)?.changeMicroseconds ?? 0;
-  const snapshotBytes = at(configuration.snapshot, resources) * 0.75;
-  const serveBytes = (restartsPerSecond * snapshotBytes) / LETTER_SIZE.nodes;
+  const snapshotBytes = evaluateLine(configuration.snapshot, resources) * 0.75;
+  const serveBytes = (restartsPerSecond * snapshotBytes) / TARGET_SCALE.nodes;
   const membership =
     10 * decisions.membershipTickMicroseconds +
     4 * decisions.membershipDatagramMicroseconds;
@@ -165,7 +165,7 @@
     [
       'snapshots, kept and served',
       `${megabytes(snapshotBytes)} MB compressed`,
-      `${((restartsPerSecond / LETTER_SIZE.nodes) * 86_400).toFixed(1)} served/day`,
+      `${((restartsPerSecond / TARGET_SCALE.nodes) * 86_400).toFixed(1)} served/day`,
       'below 0.01%',
       `${megabytes(snapshotBytes * 1.34)} MB`,
       `${(serveBytes * 2).toFixed(0)} B/s mean`,
@@ -173,16 +173,16 @@
     ],
     [
       'membership',
-      `${LETTER_SIZE.nodes} members`,
+      `${TARGET_SCALE.nodes} members`,
       '1 probe/s, 4 datagrams/s',
       `${(membership / 10_000).toFixed(3)}%`,
-      `${megabytes(decisions.memberBytes * LETTER_SIZE.nodes)} MB`,
+      `${megabytes(decisions.memberBytes * TARGET_SCALE.nodes)} MB`,
       `${datagrams.toFixed(0)} B/s`,
       'random probes, indirect probes, refutable suspicion, bounded gossip',
     ],
     [
       'permits: guard and holder',
-      `${(LETTER_SIZE.upstreams / LETTER_SIZE.nodes).toFixed(1)} upstreams guarded`,
+      `${(TARGET_SCALE.upstreams / TARGET_SCALE.nodes).toFixed(1)} upstreams guarded`,
       `${(REPORTS_PER_SECOND * 2).toFixed(1)} reports/s in and out`,
       `${((REPORTS_PER_SECOND * decisions.holderReportMicroseconds) / 10_000).toFixed(3)}%`,
       '2 MB',
@@ -237,7 +237,7 @@
  */
 function extrapolatedDatagramBytes(processes: readonly ProcessPoint[]): number {
   const perNode = lastValue(processes, (point) => point.datagramBytesPerSecond);
-  const restartsPerSecond = LETTER_SIZE.restartsPerDay / DAY_SECONDS;
+  const restartsPerSecond = TARGET_SCALE.restartsPerDay / DAY_SECONDS;
   const updateBytes = 260;
   const transmissions = 16;
   return perNode + restartsPerSecond * 2 * updateBytes * transmissions * 2;
@@ -246,18 +246,18 @@
 function appendTable({configuration}: CapacityFigures): string {
   const resources = 234_200;
   const chunks = Math.ceil(
-    (at(configuration.snapshot, resources) * 0.75) / (48 * 1024),
+    (evaluateLine(configuration.snapshot, resources) * 0.75) / (48 * 1024),
   );
   const rows = [
     [
       'configuration changes',
-      (LETTER_SIZE.changesPerDay / DAY_SECONDS).toFixed(3),
+      (TARGET_SCALE.changesPerDay / DAY_SECONDS).toFixed(3),
     ],
     [
       'holder claims (18,000 restarts, 0.31 services held by a node)',
       (
-        ((LETTER_SIZE.restartsPerDay / DAY_SECONDS) * LETTER_SIZE.services) /
-        LETTER_SIZE.nodes
+        ((TARGET_SCALE.restartsPerDay / DAY_SECONDS) * TARGET_SCALE.services) /
+        TARGET_SCALE.nodes
       ).toFixed(3),
     ],
     [
--- a/packages/tools/src/capacity/configurationSlopes.ts
+++ b/packages/tools/src/capacity/configurationSlopes.ts
@@ -10,13 +10,13 @@
 import type {Line, Point} from './fit.js';
 import {fitLine} from './fit.js';
 import {
-  changesFor,
-  foldAll,
-  shareOfLetter,
-  upstream,
+  createChanges,
+  foldChanges,
+  scaledTargetSize,
+  createUpstreamWrite,
 } from './largeConfiguration.js';
 import type {ConfigurationSize} from './largeConfiguration.js';
-import {heapBytesOf, microsecondsEach} from './measureTime.js';
+import {measureRetainedHeap, microsecondsPerRun} from './measureTime.js';
 
 /** Measurements at one size. */
 export interface ConfigurationPoint {
@@ -44,7 +44,7 @@
 
 /** Measures at several shares of the target scale. */
 export function measureConfiguration(): ConfigurationSlopes {
-  const points = SHARES.map((share) => measureAt(shareOfLetter(share)));
+  const points = SHARES.map((share) => measureAt(scaledTargetSize(share)));
   const line = (value: (point: ConfigurationPoint) => number): Line =>
     fitLine(points.map((p): Point => ({x: p.resources, y: value(p)})));
   return {
@@ -57,12 +57,12 @@
 }
 
 function measureAt(size: ConfigurationSize): ConfigurationPoint {
-  const changes = changesFor(size);
+  const changes = createChanges(size);
   const startedAt = performance.now();
-  foldAll(changes);
+  foldChanges(changes);
   const loadMilliseconds = performance.now() - startedAt;
-  const {bytes, made: state} = heapBytesOf(() =>
-    foldAll(structuredClone(changes)),
+  const {bytes, made: state} = measureRetainedHeap(() =>
+    foldChanges(structuredClone(changes)),
   );
   const resources = state.size;
   const encodeStart = performance.now();
@@ -88,8 +88,12 @@
   size: ConfigurationSize,
 ): number {
   let offset = state.version;
-  return microsecondsEach(TIMED_CHANGES, (i) => {
-    const write = upstream(i % size.upstreams, size.services, 1 + (i % 9));
+  return microsecondsPerRun(TIMED_CHANGES, (i) => {
+    const write = createUpstreamWrite(
+      i % size.upstreams,
+      size.services,
+      1 + (i % 9),
+    );
     const basedOn = state.get('Upstream', write.name)?.version ?? 0;
     const value = {
       kind: 'change',
@@ -121,6 +125,6 @@
 }
 
 function measureHeap(size: ConfigurationSize): number {
-  const changes = changesFor(size);
-  return heapBytesOf(() => foldAll(structuredClone(changes))).bytes;
+  const changes = createChanges(size);
+  return measureRetainedHeap(() => foldChanges(structuredClone(changes))).bytes;
 }
--- a/packages/tools/src/capacity/decisionSlopes.ts
+++ b/packages/tools/src/capacity/decisionSlopes.ts
@@ -10,9 +10,9 @@
 import {OnceLedger, mintOnceKey, parseOnceKey} from '@lockpin/once';
 import type {OnceKey} from '@lockpin/once';
 import {seededRandom} from '@lockpin/utils';
-import {changesFor, foldAll, serviceName} from './largeConfiguration.js';
-import {LETTER_SIZE} from './letterSize.js';
-import {heapBytesOf, microsecondsEach} from './measureTime.js';
+import {createChanges, foldChanges, serviceName} from './largeConfiguration.js';
+import {TARGET_SCALE} from './targetScale.js';
+import {measureRetainedHeap, microsecondsPerRun} from './measureTime.js';
 
 /** Costs of single decisions. */
 export interface DecisionCosts {
@@ -30,10 +30,10 @@
 
 /** Upstreams of an average service at the target scale. */
 const UPSTREAMS_PER_SERVICE = Math.round(
-  LETTER_SIZE.upstreams / LETTER_SIZE.services,
+  TARGET_SCALE.upstreams / TARGET_SCALE.services,
 );
 const ROUTES_PER_SERVICE = Math.round(
-  LETTER_SIZE.routes / LETTER_SIZE.services,
+  TARGET_SCALE.routes / TARGET_SCALE.services,
 );
 
 /** Maximum number of kinds of call in one report. */
@@ -60,8 +60,8 @@
 }
 
 function averageService() {
-  const state = foldAll(
-    changesFor({
+  const state = foldChanges(
+    createChanges({
       customers: 1,
       services: 1,
       upstreams: UPSTREAMS_PER_SERVICE,
@@ -82,7 +82,7 @@
     incarnation: () => 'i0',
   });
   const route = view.routes[0] as EntryCall['route'];
-  return microsecondsEach(20_000, (i) => {
+  return microsecondsPerRun(20_000, (i) => {
     const id = String(i);
     const call: EntryCall = {
       id,
@@ -124,7 +124,7 @@
       },
     ],
   });
-  return microsecondsEach(20_000, (i) => {
+  return microsecondsPerRun(20_000, (i) => {
     const call = guardCall(String(i), view.name, upstream?.name, i);
     stateMachine.handle(i, random, {kind: 'call-offered', call});
     stateMachine.handle(i, random, {
@@ -171,7 +171,7 @@
     settleMilliseconds: 250,
     upstreams,
   });
-  const reportMicroseconds = microsecondsEach(1000, (i) => {
+  const reportMicroseconds = microsecondsPerRun(1000, (i) => {
     const upstream = upstreams[i % upstreams.length]?.name ?? '';
     holder.report(i, report(upstream, i));
   });
@@ -214,13 +214,13 @@
   };
   const keys = Array.from({length: count * 5}, (_, i) => createKey(i));
   const timed = new OnceLedger(BOX_IDENTITY);
-  const onceKeyMicroseconds = microsecondsEach(count, (i) => {
+  const onceKeyMicroseconds = microsecondsPerRun(count, (i) => {
     const key = keys[i] as (typeof keys)[number];
     timed.begin(200_000, key, 'digest');
     timed.started(key.text);
     timed.ran(key.text);
   });
-  const {bytes} = heapBytesOf(() => {
+  const {bytes} = measureRetainedHeap(() => {
     const ledger = new OnceLedger(BOX_IDENTITY);
     for (let i = 0; i < count; i += 1) {
       const key = createKey(i);
@@ -240,20 +240,20 @@
     holders: FIRST_FENCE,
     time: {milliseconds: 0, counter: 0},
   };
-  const {bytes, made: membership} = heapBytesOf(() => {
+  const {bytes, made: membership} = measureRetainedHeap(() => {
     const made = new Membership(member(0));
-    const members = Array.from({length: LETTER_SIZE.nodes - 1}, (_, i) =>
+    const members = Array.from({length: TARGET_SCALE.nodes - 1}, (_, i) =>
       member(i + 1),
     );
     made.mergeMembers(0, members);
     return made;
   });
-  const tick = microsecondsEach(
+  const tick = microsecondsPerRun(
     200,
     (i) => void membership.tick(i * 100, random, context),
   );
   const other = member(1);
-  const datagram = microsecondsEach(2000, (i) => {
+  const datagram = microsecondsPerRun(2000, (i) => {
     membership.receive(
       i,
       {from: other, news: [], ...context, kind: 'ping', sequence: i},
@@ -261,7 +261,7 @@
     );
   });
   return {
-    memberBytes: bytes / LETTER_SIZE.nodes,
+    memberBytes: bytes / TARGET_SCALE.nodes,
     membershipTickMicroseconds: tick,
     membershipDatagramMicroseconds: datagram,
   };
@@ -270,7 +270,7 @@
 function member(i: number): Member {
   return {
     box: `box-${i}`,
-    dataCentre: `data-centre-${i % LETTER_SIZE.dataCentres}`,
+    dataCentre: `data-centre-${i % TARGET_SCALE.dataCentres}`,
     peerAddress: `10.0.${i >> 8}.${i & 255}:7200`,
     callerAddress: `10.0.${i >> 8}.${i & 255}:7000`,
     operatorAddress: `10.0.${i >> 8}.${i & 255}:7100`,
--- a/packages/tools/src/capacity/fit.ts
+++ b/packages/tools/src/capacity/fit.ts
@@ -28,6 +28,6 @@
 }
 
 /** Evaluates a line at x. */
-export function at({intercept, slope}: Line, x: number): number {
+export function evaluateLine({intercept, slope}: Line, x: number): number {
   return intercept + slope * x;
 }
--- a/packages/tools/src/capacity/largeConfiguration.ts
+++ b/packages/tools/src/capacity/largeConfiguration.ts
@@ -3,7 +3,7 @@
 
 import {ConfigurationState, foldChange} from '@lockpin/configuration';
 import type {ChangeRecord, Write} from '@lockpin/types';
-import {LETTER_SIZE} from './letterSize.js';
+import {TARGET_SCALE} from './targetScale.js';
 
 const WRITES_PER_CHANGE = 200;
 
@@ -16,23 +16,25 @@
 }
 
 /** Size of a configuration at a share of the target scale. */
-export function shareOfLetter(share: number): ConfigurationSize {
+export function scaledTargetSize(share: number): ConfigurationSize {
   return {
-    customers: Math.round(LETTER_SIZE.customers * share),
-    services: Math.round(LETTER_SIZE.services * share),
-    upstreams: Math.round(LETTER_SIZE.upstreams * share),
-    routes: Math.round(LETTER_SIZE.routes * share),
+    customers: Math.round(TARGET_SCALE.customers * share),
+    services: Math.round(TARGET_SCALE.services * share),
+    upstreams: Math.round(TARGET_SCALE.upstreams * share),
+    routes: Math.round(TARGET_SCALE.routes * share),
   };
 }
 
 /** Creates the changes that write a configuration of the given size. */
-export function changesFor(size: ConfigurationSize): readonly ChangeRecord[] {
+export function createChanges(
+  size: ConfigurationSize,
+): readonly ChangeRecord[] {
   const writes = [
     ...Array.from({length: size.customers}, (_, i) => customer(i)),
     ...Array.from({length: size.services}, (_, i) => service(i)),
     ...Array.from({length: size.routes}, (_, i) => route(i, size.services)),
     ...Array.from({length: size.upstreams}, (_, i) =>
-      upstream(i, size.services),
+      createUpstreamWrite(i, size.services),
     ),
   ];
   const changes: ChangeRecord[] = [];
@@ -48,7 +50,9 @@
 }
 
 /** Folds changes into a new state. */
-export function foldAll(changes: readonly ChangeRecord[]): ConfigurationState {
+export function foldChanges(
+  changes: readonly ChangeRecord[],
+): ConfigurationState {
   const state = new ConfigurationState();
   changes.forEach((value, offset) => foldChange(state, {offset, value}));
   return state;
@@ -60,8 +64,12 @@
 }
 
 /** Creates a write of the upstream with the given index. */
-export function upstream(i: number, services: number, slots = 4): Write {
-  const box = i % LETTER_SIZE.nodes;
+export function createUpstreamWrite(
+  i: number,
+  services: number,
+  slots = 4,
+): Write {
+  const box = i % TARGET_SCALE.nodes;
   return {
     operation: 'put',
     kind: 'Upstream',
@@ -69,7 +77,7 @@
     basedOn: 0,
     spec: {
       address: `10.${(box >> 8) & 255}.${box & 255}.1:${8000 + (i % 1000)}`,
-      dataCentre: `data-centre-${box % LETTER_SIZE.dataCentres}`,
+      dataCentre: `data-centre-${box % TARGET_SCALE.dataCentres}`,
       box: `box-${box}`,
       slots,
       connections: 300,
--- a/packages/tools/src/capacity/measureTime.ts
+++ b/packages/tools/src/capacity/measureTime.ts
@@ -2,7 +2,7 @@
 /** Measures time and memory of repeated work in this process. */
 
 /** Duration of one run in microseconds, as the median of several rounds. */
-export function microsecondsEach(
+export function microsecondsPerRun(
   runs: number,
   work: (i: number) => void,
 ): number {
@@ -19,7 +19,7 @@
 }
 
 /** Heap bytes retained by the value that the function returns. */
-export function heapBytesOf<T>(make: () => T): {
+export function measureRetainedHeap<T>(make: () => T): {
   readonly bytes: number;
   readonly made: T;
 } {
--- a/packages/tools/src/capacity/processSlopes.ts
+++ b/packages/tools/src/capacity/processSlopes.ts
@@ -40,7 +40,7 @@
 }
 
 /** Options of a fleet measurement. */
-export interface ProcessMeasurement {
+export interface ProcessMeasurementOptions {
   readonly quietSeconds: number;
   readonly changes: number;
   /** Boxes that guard upstreams of each service. */
@@ -58,7 +58,7 @@
 /** Starts the given number of nodes, measures them and ends them. */
 export async function measureProcesses(
   count: number,
-  measurement: ProcessMeasurement,
+  measurement: ProcessMeasurementOptions,
 ): Promise<ProcessPoint> {
   const log = new LogService();
   const boxList = new BoxList();
--- a/packages/tools/src/capacity/letterSize.ts
+++ b/packages/tools/src/capacity/targetScale.ts
@@ -2,7 +2,7 @@
 /** Target scale and resource budget for capacity planning. */
 
 /** Size that has to be supported within two years. */
-export const LETTER_SIZE = {
+export const TARGET_SCALE = {
   nodes: 3900,
   upstreams: 45_000,
   services: 1200,
--- a/packages/tools/src/ci/judgeTests.ts
+++ b/packages/tools/src/ci/evaluateTests.ts
@@ -38,7 +38,7 @@
 }
 
 /** Returns the problems of a run; none if only known faults failed. */
-export function judgeTests(
+export function evaluateTests(
   root: string,
   report: TestReport,
   knownRed: readonly KnownRed[],
--- a/packages/tools/src/ci/knownRed.ts
+++ b/packages/tools/src/ci/knownRed.ts
@@ -33,7 +33,7 @@
 }
 
 /** Parses the list. */
-export function readKnownRed(
+export function parseKnownRed(
   text: string,
 ): Result<readonly KnownRed[], KnownRedProblem> {
   const lines = text
--- a/packages/tools/src/ci/main.ts
+++ b/packages/tools/src/ci/main.ts
@@ -6,9 +6,9 @@
 import {join} from 'node:path';
 import {fileURLToPath} from 'node:url';
 import {startVitest} from 'vitest/node';
-import {judgeTests} from './judgeTests.js';
-import type {TestProblem, TestReport} from './judgeTests.js';
-import {readKnownRed} from './knownRed.js';
+import {evaluateTests} from './evaluateTests.js';
+import type {TestProblem, TestReport} from './evaluateTests.js';
+import {parseKnownRed} from './knownRed.js';
 import type {KnownRed} from './knownRed.js';
 
 const ROOT = fileURLToPath(new URL('../../../../', import.meta.url));
@@ -16,7 +16,7 @@
 const KNOWN_RED_FILE = join(ROOT, 'KNOWN-RED.txt');
 
 function loadKnownRed(): readonly KnownRed[] {
-  const read = readKnownRed(
+  const read = parseKnownRed(
     existsSync(KNOWN_RED_FILE) ? readFileSync(KNOWN_RED_FILE, 'utf8') : '',
   );
   if (!read.ok) {
@@ -56,7 +56,8 @@
 }: TestRun): readonly TestProblem[] {
   const outside: readonly TestProblem[] =
     report === undefined || unhandledErrors > 0 ? [{kind: 'run-failed'}] : [];
-  const inside = report === undefined ? [] : judgeTests(ROOT, report, faults);
+  const inside =
+    report === undefined ? [] : evaluateTests(ROOT, report, faults);
   return [...outside, ...inside];
 }
 
--- a/packages/tools/src/demo/callRecord.ts
+++ b/packages/tools/src/demo/callRecord.ts
@@ -2,14 +2,14 @@
 /** Outcomes reported to callers, for comparison with the actual executions. */
 
 /** Outcome of one attempt as reported to the caller. */
-export type ToldOutcome = 'answered' | 'not-run' | 'unknown' | 'cut';
+export type ReportedOutcome = 'answered' | 'not-run' | 'unknown' | 'cut';
 
 /** One request sent by a caller. */
 export interface AttemptRecord {
   /** Request identity as received by the upstream. */
   readonly requestId: string;
   readonly box: string;
-  readonly outcome: ToldOutcome;
+  readonly outcome: ReportedOutcome;
   readonly reason: string;
   readonly status: number;
   /** True if the answer belongs to another request. */
@@ -27,6 +27,6 @@
 }
 
 /** Outcome of the last attempt; cut if there was none. */
-export function finalOutcome(call: CallRecord): ToldOutcome {
+export function finalOutcome(call: CallRecord): ReportedOutcome {
   return call.attempts.at(-1)?.outcome ?? 'cut';
 }
--- a/packages/tools/src/demo/caller.ts
+++ b/packages/tools/src/demo/caller.ts
@@ -6,7 +6,7 @@
 import type {Dispatcher} from 'undici';
 import type {RandomSource} from '@lockpin/types';
 import type {DeployedRoute} from '../harness/deployments.js';
-import type {AttemptRecord, CallRecord, ToldOutcome} from './callRecord.js';
+import type {AttemptRecord, CallRecord, ReportedOutcome} from './callRecord.js';
 
 /** A node known to a caller. */
 export interface KnownNode {
@@ -15,7 +15,7 @@
 }
 
 /** One work item: a call of a route. */
-export interface Work {
+export interface WorkItem {
   readonly id: string;
   readonly service: string;
   readonly route: DeployedRoute;
@@ -54,7 +54,7 @@
   ) {}
 
   /** Runs one work item and records the reported outcomes. */
-  async call(work: Work): Promise<CallRecord> {
+  async call(work: WorkItem): Promise<CallRecord> {
     const {id, route} = work;
     const attempts: AttemptRecord[] = [];
     if (route.repetition === 'repeatable') {
@@ -72,7 +72,7 @@
 
   /** Reuses the key until the outcome is known; renews it after not-run. */
   private async callOnceOnly(
-    work: Work,
+    work: WorkItem,
     attempts: AttemptRecord[],
   ): Promise<void> {
     let key = await this.mintKey(work);
@@ -92,7 +92,7 @@
   }
 
   private async nextKey(
-    work: Work,
+    work: WorkItem,
     key: OnceKey,
     {record, freshKey}: AttemptResult,
   ): Promise<OnceKey | undefined> {
@@ -104,7 +104,7 @@
       : {text: freshKey, isFresh: true};
   }
 
-  private async mintKey({service}: Work): Promise<OnceKey | undefined> {
+  private async mintKey({service}: WorkItem): Promise<OnceKey | undefined> {
     for (let i = 0; i < MAXIMUM_ATTEMPTS; i += 1) {
       const node = this.pickNode();
       try {
@@ -132,7 +132,7 @@
   }
 
   private async send(
-    {service, route}: Work,
+    {service, route}: WorkItem,
     requestId: string,
     node: KnownNode,
     key: OnceKey | undefined,
@@ -214,7 +214,7 @@
 ) {
   const outcome = String(
     answer.headers['lockpin-outcome'] ?? 'unknown',
-  ) as ToldOutcome;
+  ) as ReportedOutcome;
   const body = JSON.parse(text) as {
     readonly requestId?: string;
     readonly tookMilliseconds?: number;
--- a/packages/tools/src/demo/judge.ts
+++ b/packages/tools/src/demo/checkCalls.ts
@@ -6,7 +6,7 @@
 import type {CallRecord} from './callRecord.js';
 
 /** Counts of the comparison; the last five must be 0. */
-export interface Judgement {
+export interface CallCounts {
   readonly calls: number;
   readonly answered: number;
   readonly notRun: number;
@@ -26,11 +26,11 @@
 }
 
 /** Checks all calls of a session. */
-export function judge(
+export function checkCalls(
   calls: readonly CallRecord[],
   upstreams: readonly PlacedUpstream[],
   stop: PlannedStop | undefined,
-): Judgement {
+): CallCounts {
   const runs = countRuns(upstreams);
   const finalOutcomes = calls.map(finalOutcome);
   const count = (wanted: string): number =>
--- a/packages/tools/src/demo/session.ts
+++ b/packages/tools/src/demo/session.ts
@@ -19,8 +19,8 @@
 import {startPlatform} from '../harness/platform.js';
 import type {PlacedUpstream, Platform} from '../harness/platform.js';
 import type {CallRecord} from './callRecord.js';
-import {judge} from './judge.js';
-import type {Judgement, PlannedStop} from './judge.js';
+import {checkCalls} from './checkCalls.js';
+import type {CallCounts, PlannedStop} from './checkCalls.js';
 import {Traffic} from './traffic.js';
 
 /** Options of a session. */
@@ -36,7 +36,7 @@
 }
 
 /** Result of a session. */
-export interface SessionResult extends Judgement {
+export interface SessionResult extends CallCounts {
   readonly newWorkAfterDrainSeconds: number;
   readonly configurationSpreadSeconds: number;
   readonly detectionSeconds: number;
@@ -246,7 +246,7 @@
   const detected = ejections.find(({subject}) => subject === faults.gray.name);
   const histogram = addedLatencies(records);
   return {
-    ...judge(records, platform.upstreams, faults.stop),
+    ...checkCalls(records, platform.upstreams, faults.stop),
     newWorkAfterDrainSeconds: newWorkAfterDrain(faults),
     configurationSpreadSeconds: spread,
     detectionSeconds:
--- a/packages/tools/src/demo/traffic.ts
+++ b/packages/tools/src/demo/traffic.ts
@@ -5,7 +5,7 @@
 import type {DeployedRoute, Deployment} from '../harness/deployments.js';
 import type {CallRecord} from './callRecord.js';
 import {Caller} from './caller.js';
-import type {KnownNode, Work} from './caller.js';
+import type {KnownNode, WorkItem} from './caller.js';
 
 interface WeightedRoute {
   readonly service: string;
@@ -66,7 +66,7 @@
   private startCall(): void {
     this.sequence += 1;
     const caller = this.callers[this.sequence % this.callers.length] as Caller;
-    const work: Work = {id: `work-${this.sequence}`, ...this.pickRoute()};
+    const work: WorkItem = {id: `work-${this.sequence}`, ...this.pickRoute()};
     const running = caller.call(work).then((record) => {
       this.records.push(record);
       this.pending.delete(running);
--- a/packages/tools/src/measure/answerTally.ts
+++ b/packages/tools/src/measure/answerTally.ts
@@ -12,34 +12,34 @@
 /** Tracks open calls and records how long the successful ones took. */
 export class AnswerTally {
   /** Durations of successful calls in milliseconds, by customer. */
-  readonly answeredWell = new Map<string, number[]>();
+  readonly successDurations = new Map<string, number[]>();
   private readonly openCalls = new Map<string, OpenCall>();
 
-  began(now: number, callId: string, customer: string): void {
+  callStarted(now: number, callId: string, customer: string): void {
     this.openCalls.set(callId, {customer, startedAt: now, status: 0});
   }
 
   /** Notes the status of the latest answer; a retry may replace it. */
-  heard(callId: string, status: number): void {
+  answerReceived(callId: string, status: number): void {
     const call = this.openCalls.get(callId);
     if (call !== undefined) {
       call.status = status;
     }
   }
 
-  refused(callId: string): void {
+  callRefused(callId: string): void {
     this.openCalls.delete(callId);
   }
 
   /** Forwards the latest answer to the caller and ends the call. */
-  passed(now: number, callId: string): void {
+  answerForwarded(now: number, callId: string): void {
     const call = this.openCalls.get(callId);
     this.openCalls.delete(callId);
     if (call === undefined || call.status >= FIRST_SERVER_ERROR_STATUS) {
       return;
     }
-    const times = this.answeredWell.get(call.customer) ?? [];
+    const times = this.successDurations.get(call.customer) ?? [];
     times.push(now - call.startedAt);
-    this.answeredWell.set(call.customer, times);
+    this.successDurations.set(call.customer, times);
   }
 }
--- a/packages/tools/src/measure/baselines.ts
+++ b/packages/tools/src/measure/baselines.ts
@@ -12,7 +12,7 @@
 const CONSECUTIVE_ERRORS = 5;
 
 /** Ejects an upstream after five consecutive errors. */
-export function consecutiveErrors(): BaselineDetector {
+export function createConsecutiveErrorsDetector(): BaselineDetector {
   const consecutiveFailures = new Map<number, number>();
   const ejectedUntil = new Map<number, number>();
   return {
@@ -44,7 +44,7 @@
 }
 
 /** Ejects on a success rate below the peers' mean less 1.9 deviations. */
-export function successRate(): BaselineDetector {
+export function createSuccessRateDetector(): BaselineDetector {
   const counts = new Map<number, Counts>();
   const ejectedUntil = new Map<number, number>();
   let intervalEnd = 0;
--- a/packages/tools/src/measure/ejectionTally.ts
+++ b/packages/tools/src/measure/ejectionTally.ts
@@ -5,10 +5,10 @@
 import type {Fault, MeasuredService} from './scenarios.js';
 
 /** Start of the fault, in milliseconds of virtual time. */
-export const FAULT_AT = 10_000;
+export const FAULT_START_MILLISECONDS = 10_000;
 
 /** Index of the faulty upstream when the fault is not shared. */
-export const SICK = 0;
+export const FAULTY_INDEX = 0;
 
 /** True if the fault affects all upstreams. */
 export function isSharedFault({kind}: Fault): boolean {
@@ -44,7 +44,7 @@
     this.events.push([seconds, event, name, ...details].join(' '));
     if (event === 'upstream-ejected') {
       this.ejectedNames.add(name);
-      this.ejected(now, upstream);
+      this.recordEjection(now, upstream);
     } else if (
       event === 'upstream-returned' ||
       event === 'upstream-permit-revoked'
@@ -57,12 +57,14 @@
   }
 
   /** Counts an ejection by a guard or by a baseline detector. */
-  ejected(now: number, upstream: number): void {
+  recordEjection(now: number, upstream: number): void {
     const {fault} = this;
     const isFaulty =
-      fault.kind !== 'none' && !isSharedFault(fault) && upstream === SICK;
-    if (isFaulty && now >= FAULT_AT) {
-      this.detection ??= now - FAULT_AT;
+      fault.kind !== 'none' &&
+      !isSharedFault(fault) &&
+      upstream === FAULTY_INDEX;
+    if (isFaulty && now >= FAULT_START_MILLISECONDS) {
+      this.detection ??= now - FAULT_START_MILLISECONDS;
     } else {
       this.falseEjections += 1;
     }
--- a/packages/tools/src/measure/falseAlarms.ts
+++ b/packages/tools/src/measure/falseAlarms.ts
@@ -5,7 +5,7 @@
 import type {PeerBaseline} from '@lockpin/detection';
 import {seededRandom} from '@lockpin/utils';
 import type {Sensitivity} from '@lockpin/types';
-import {consecutiveErrors} from './baselines.js';
+import {createConsecutiveErrorsDetector} from './baselines.js';
 import {TRAFFIC} from './scenarios.js';
 import {UpstreamModel} from './upstreamModel.js';
 
@@ -47,7 +47,7 @@
   const model = new UpstreamModel(random);
   const detector = new GrayDetector(DETECTION_SETTINGS[sensitivity]);
   detector.setBaseline(HEALTHY_PEERS);
-  const fiveInARow = consecutiveErrors();
+  const fiveInARow = createConsecutiveErrorsDetector();
   const end = days * DAY_MILLISECONDS;
   let lockpin = 0;
   let baseline = 0;
--- a/packages/tools/src/measure/main.ts
+++ b/packages/tools/src/measure/main.ts
@@ -7,7 +7,7 @@
 import {hideBin} from 'yargs/helpers';
 import type {FalseAlarmResult} from './falseAlarms.js';
 import {plotDetection} from './plot.js';
-import {measureAll} from './pool.js';
+import {runTasks} from './runTasks.js';
 import {SCENARIOS, SERVICES} from './scenarios.js';
 import {summarise} from './summary.js';
 import type {SummaryRow} from './summary.js';
@@ -38,7 +38,7 @@
 
 const outcomes: MeasureOutcome[] = [];
 const tasks = createTasks();
-await measureAll(tasks, options.processes, (outcome, done) => {
+await runTasks(tasks, options.processes, (outcome, done) => {
   outcomes.push(outcome);
   if (done % 50 === 0 || done === tasks.length) {
     process.stderr.write(`${done} of ${tasks.length} tasks\n`);
--- a/packages/tools/src/measure/measureTask.ts
+++ b/packages/tools/src/measure/measureTask.ts
@@ -1,7 +1,10 @@
 // Copyright (c) 2026 the lockpin contributors. MIT licence, see LICENSE.
 /** A measurement task for a worker process, and its outcome. */
 
-import {consecutiveErrors, successRate} from './baselines.js';
+import {
+  createConsecutiveErrorsDetector,
+  createSuccessRateDetector,
+} from './baselines.js';
 import {countFalseAlarms} from './falseAlarms.js';
 import type {FalseAlarmResult} from './falseAlarms.js';
 import {SCENARIOS, SERVICES} from './scenarios.js';
@@ -76,8 +79,8 @@
     case 'lockpin':
       return {};
     case 'five in a row':
-      return {baseline: consecutiveErrors()};
+      return {baseline: createConsecutiveErrorsDetector()};
     case 'success rate':
-      return {baseline: successRate()};
+      return {baseline: createSuccessRateDetector()};
   }
 }
--- a/packages/tools/src/measure/measuredService.ts
+++ b/packages/tools/src/measure/measuredService.ts
@@ -14,7 +14,7 @@
 import {TRAFFIC} from './scenarios.js';
 
 /** Name of the measured service. */
-export const SERVICE = 'customer/service';
+export const SERVICE_NAME = 'customer/service';
 
 /** Starts a guard that has read the holders and knows the first fence. */
 export function startMeasuredGuard(
@@ -25,19 +25,19 @@
   const random = seededRandom(i);
   const guard = new GuardStateMachine({box: `box-${i}`, incarnation: 'a'});
   const {sensitivity} = service;
-  const services = [{name: SERVICE, sensitivity, upstreams: [upstream]}];
+  const services = [{name: SERVICE_NAME, sensitivity, upstreams: [upstream]}];
   guard.handle(0, random, {kind: 'services-changed', services});
   guard.handle(0, random, {kind: 'holders-read'});
   guard.handle(0, random, {
     kind: 'fence-learnt',
-    service: SERVICE,
+    service: SERVICE_NAME,
     fence: FIRST_FENCE,
   });
   return guard;
 }
 
 /** Builds the view of the service with the configuration reducer. */
-export function makeMeasuredView(service: MeasuredService): ServiceView {
+export function createMeasuredView(service: MeasuredService): ServiceView {
   const state = new ConfigurationState();
   foldChange(state, {
     offset: 0,
@@ -47,14 +47,16 @@
       author: 'measure',
       writes: [
         createWrite('Customer', 'customer', {}),
-        createWrite('Service', SERVICE, {sensitivity: service.sensitivity}),
-        createWrite('Route', `${SERVICE}/read`, {
+        createWrite('Service', SERVICE_NAME, {
+          sensitivity: service.sensitivity,
+        }),
+        createWrite('Route', `${SERVICE_NAME}/read`, {
           pathPrefix: '/',
           repetition: 'repeatable',
           waitMilliseconds: TRAFFIC.waitMilliseconds,
         }),
         ...Array.from({length: service.upstreams}, (_, i) =>
-          createWrite('Upstream', `${SERVICE}/upstream-${i}`, {
+          createWrite('Upstream', `${SERVICE_NAME}/upstream-${i}`, {
             address: `127.0.0.1:${9000 + i}`,
             dataCentre: `dc-${i % service.dataCentres}`,
             box: `box-${i}`,
@@ -64,7 +66,7 @@
       ],
     },
   });
-  const view = state.service(SERVICE);
+  const view = state.service(SERVICE_NAME);
   if (view === undefined) {
     throw new Error('the configuration reducer rejected the measured service');
   }
--- a/packages/tools/src/measure/overload.ts
+++ b/packages/tools/src/measure/overload.ts
@@ -123,12 +123,12 @@
 }
 
 function quietCustomerTimes({
-  answeredWell: durations,
+  successDurations: durations,
 }: RunResult): readonly number[] {
   return durations.get('customer') ?? [];
 }
 
-function answeredCount({answeredWell: durations}: RunResult): number {
+function answeredCount({successDurations: durations}: RunResult): number {
   return [...durations.values()].reduce((sum, times) => sum + times.length, 0);
 }
 
--- a/packages/tools/src/measure/pool.ts
+++ b/packages/tools/src/measure/runTasks.ts
@@ -8,7 +8,7 @@
 const WORKER = fileURLToPath(new URL('./worker.js', import.meta.url));
 
 /** Runs all tasks on the given number of worker processes. */
-export async function measureAll(
+export async function runTasks(
   tasks: readonly MeasureTask[],
   processes: number,
   onOutcome: (outcome: MeasureOutcome, done: number) => void,
--- a/packages/tools/src/measure/serviceRun.ts
+++ b/packages/tools/src/measure/serviceRun.ts
@@ -17,10 +17,15 @@
 import {seededRandom} from '@lockpin/utils';
 import type {RandomSource} from '@lockpin/types';
 import {AnswerTally} from './answerTally.js';
-import {EjectionTally, FAULT_AT, isSharedFault, SICK} from './ejectionTally.js';
 import {
-  makeMeasuredView,
-  SERVICE,
+  EjectionTally,
+  FAULT_START_MILLISECONDS,
+  isSharedFault,
+  FAULTY_INDEX,
+} from './ejectionTally.js';
+import {
+  createMeasuredView,
+  SERVICE_NAME,
   startMeasuredGuard,
 } from './measuredService.js';
 import type {Fault} from './scenarios.js';
@@ -55,7 +60,7 @@
   constructor(private readonly options: RunOptions) {
     const {service, seed} = options;
     this.random = seededRandom(seed);
-    this.view = makeMeasuredView(service);
+    this.view = createMeasuredView(service);
     this.ejections = new EjectionTally(
       service,
       options.fault,
@@ -101,20 +106,20 @@
       calls: this.calls,
       refusedOrFailed: this.failures,
       amplification: this.runs / Math.max(1, this.calls),
-      answeredWell: this.answers.answeredWell,
+      successDurations: this.answers.successDurations,
       events: this.ejections.events,
     };
   }
 
   private tick(i: number): void {
     this.dispatchToGuard(i, {kind: 'tick'});
-    this.clock.later(GUARD_TICK_MILLISECONDS, () => this.tick(i));
+    this.clock.schedule(GUARD_TICK_MILLISECONDS, () => this.tick(i));
   }
 
   private scheduleNextCall(): void {
     const {callsPerUpstream, upstreams} = this.options.service;
     const rate = (callsPerUpstream * upstreams) / 1000;
-    this.clock.later(-Math.log(1 - this.random()) / rate, () => {
+    this.clock.schedule(-Math.log(1 - this.random()) / rate, () => {
       this.startCall();
       this.scheduleNextCall();
     });
@@ -126,7 +131,7 @@
     const entry = Math.floor(this.random() * this.entries.length);
     this.entryOfCall.set(id, entry);
     const customer = this.pickCustomer();
-    this.answers.began(this.clock.now, id, customer);
+    this.answers.callStarted(this.clock.now, id, customer);
     const route = this.view.routes[0] as EntryCall['route'];
     this.dispatchToEntry(id, {
       kind: 'call-arrived',
@@ -144,7 +149,7 @@
         isCallersRetry: false,
       },
     });
-    this.clock.later(TRAFFIC.waitMilliseconds, () =>
+    this.clock.schedule(TRAFFIC.waitMilliseconds, () =>
       this.dispatchToEntry(id, {
         kind: 'call-aborted',
         callId: id,
@@ -168,16 +173,16 @@
       case 'refuse':
         this.failures += 1;
         this.entryOfCall.delete(callId);
-        this.answers.refused(callId);
+        this.answers.callRefused(callId);
         break;
       case 'pass-fallback-answer':
         this.failures += 1;
         this.entryOfCall.delete(callId);
-        this.answers.refused(callId);
+        this.answers.callRefused(callId);
         this.dispatchToEntry(callId, {kind: 'answer-ended', callId});
         break;
       case 'pass-answer':
-        this.answers.passed(this.clock.now, callId);
+        this.answers.answerForwarded(this.clock.now, callId);
         this.dispatchToEntry(callId, {kind: 'answer-ended', callId});
         this.entryOfCall.delete(callId);
         break;
@@ -203,15 +208,15 @@
     const {call} = attempt;
     const delay = this.hopMilliseconds(attempt.callId, i);
     const remaining = call.deadline - this.clock.now - 5;
-    this.clock.later(delay, () => {
-      this.clock.later(remaining, () =>
+    this.clock.schedule(delay, () => {
+      this.clock.schedule(remaining, () =>
         this.dispatchToGuard(i, {kind: 'call-deadline-passed', callId: id}),
       );
       this.dispatchToGuard(i, {
         kind: 'call-offered',
         call: {
           id,
-          service: SERVICE,
+          service: SERVICE_NAME,
           upstream: attempt.upstream,
           customer: call.customer,
           weight: 1,
@@ -247,12 +252,12 @@
         break;
       case 'report':
         for (const report of action.reports) {
-          this.clock.later(TRAFFIC.farMilliseconds, () => {
+          this.clock.schedule(TRAFFIC.farMilliseconds, () => {
             const reply = this.holder.report(this.clock.now, report);
-            this.clock.later(TRAFFIC.farMilliseconds, () =>
+            this.clock.schedule(TRAFFIC.farMilliseconds, () =>
               this.dispatchToGuard(i, {
                 kind: 'holder-replied',
-                service: SERVICE,
+                service: SERVICE_NAME,
                 reply,
               }),
             );
@@ -273,18 +278,18 @@
   private runOnUpstream(i: number, id: string): void {
     this.runs += 1;
     const fault = this.currentFault();
-    const isFaulty = i === SICK || isSharedFault(fault);
+    const isFaulty = i === FAULTY_INDEX || isSharedFault(fault);
     const model = this.upstreamModels[i] as UpstreamModel;
     const answer = model.answer(
       this.clock.now,
       isFaulty ? fault : {kind: 'none'},
-      FAULT_AT,
+      FAULT_START_MILLISECONDS,
     );
     const {status} = answer;
     if (status === undefined) {
       return;
     }
-    this.clock.later(answer.milliseconds, () => {
+    this.clock.schedule(answer.milliseconds, () => {
       const attempt = this.runningAttempts.get(id);
       if (attempt === undefined) {
         return;
@@ -303,8 +308,8 @@
         attempt.upstream ?? '',
       );
       const {callId} = attempt;
-      this.clock.later(this.hopMilliseconds(callId, i), () => {
-        this.answers.heard(callId, status);
+      this.clock.schedule(this.hopMilliseconds(callId, i), () => {
+        this.answers.answerReceived(callId, status);
         this.dispatchToEntry(callId, {
           kind: 'attempt-answered',
           callId,
@@ -319,7 +324,8 @@
 
   private currentFault(): Fault {
     const {fault, faultSeconds = Number.POSITIVE_INFINITY} = this.options;
-    const hasEnded = this.clock.now > FAULT_AT + faultSeconds * 1000;
+    const hasEnded =
+      this.clock.now > FAULT_START_MILLISECONDS + faultSeconds * 1000;
     return hasEnded ? {kind: 'none'} : fault;
   }
 
@@ -334,7 +340,7 @@
     this.runningAttempts.delete(action.callId);
     const {callId} = attempt;
     const {refusal, upstream, hint} = action;
-    this.clock.later(this.hopMilliseconds(callId, i), () =>
+    this.clock.schedule(this.hopMilliseconds(callId, i), () =>
       this.dispatchToEntry(callId, {
         kind: 'attempt-refused',
         callId,
@@ -347,7 +353,7 @@
 
   private observeBaseline(i: number, failed: boolean): void {
     if (this.options.baseline?.observe(this.clock.now, i, failed)) {
-      this.ejections.ejected(this.clock.now, i);
+      this.ejections.recordEjection(this.clock.now, i);
     }
   }
 
--- a/packages/tools/src/measure/serviceRunOptions.ts
+++ b/packages/tools/src/measure/serviceRunOptions.ts
@@ -15,11 +15,11 @@
   /** Detector that replaces lockpin's ejections, which are then disabled. */
   readonly baseline?: BaselineDetector;
   /** Customers and their shares of the calls; one customer if undefined. */
-  readonly customers?: readonly CallingCustomer[];
+  readonly customers?: readonly CustomerShare[];
 }
 
 /** A customer and its share of the traffic. */
-export interface CallingCustomer {
+export interface CustomerShare {
   readonly name: string;
   readonly share: number;
 }
@@ -37,7 +37,7 @@
   /** Attempts that upstreams ran, per call. */
   readonly amplification: number;
   /** Durations of successful calls in milliseconds, by customer. */
-  readonly answeredWell: ReadonlyMap<string, readonly number[]>;
+  readonly successDurations: ReadonlyMap<string, readonly number[]>;
   /** Timeline events of the upstreams, for the golden files. */
   readonly events: readonly string[];
 }
--- a/packages/tools/src/measure/virtualClock.ts
+++ b/packages/tools/src/measure/virtualClock.ts
@@ -29,7 +29,7 @@
   }
 
   /** Schedules an event after a delay in milliseconds. */
-  later(delay: number, run: () => void): void {
+  schedule(delay: number, run: () => void): void {
     this.order += 1;
     this.queue.push({at: this.time + delay, order: this.order, run});
   }
