--- a/packages/brain/src/entry/answerHandler.ts
+++ b/packages/brain/src/entry/answerHandler.ts
@@ -15,10 +15,10 @@
 /** Dependencies of the answer handler. */
 export interface AnswerHandlerContext {
   readonly retries: RetryPolicy;
-  readonly books: CallRegistry;
+  readonly calls: CallRegistry;
   readonly chooser: UpstreamChooser;
   readonly offers: CallOffers;
-  readonly news: AttemptFeedback;
+  readonly feedback: AttemptFeedback;
   readonly overdueAttempts: OverdueAttempts;
 }
 
@@ -49,14 +49,14 @@
     state: CallState,
     event: EntryEvent & {readonly kind: 'overdue-answered'},
   ): readonly EntryAction[] {
-    const {news, books, overdueAttempts} = this.context;
+    const {feedback, calls, overdueAttempts} = this.context;
     const {callId, status} = event;
-    news.answerReceived(now, state.overdueUpstream ?? '', state, event);
+    feedback.answerReceived(now, state.overdueUpstream ?? '', state, event);
     if (status >= FIRST_SERVER_ERROR_STATUS) {
-      return books.overdueEnded(state);
+      return calls.overdueEnded(state);
     }
     overdueAttempts.clear(state);
-    books.attemptEnded(state);
+    calls.attemptEnded(state);
     return [
       {kind: 'cancel-attempt', callId},
       {kind: 'pass-overdue-answer', callId},
@@ -70,10 +70,10 @@
     state: CallState,
     event: EntryEvent & {readonly kind: 'attempt-answered'},
   ): readonly EntryAction[] {
-    const {news, books, retries, chooser, offers} = this.context;
+    const {feedback, calls, retries, chooser, offers} = this.context;
     const {callId, status, isWhole} = event;
-    books.attemptEnded(state);
-    news.answerReceived(now, state.upstream, state, event);
+    calls.attemptEnded(state);
+    feedback.answerReceived(now, state.upstream, state, event);
     const isWorthRetry = status >= FIRST_SERVER_ERROR_STATUS && isWhole;
     state.mayHaveRun = true;
     state.ran.add(state.upstream);
--- a/packages/brain/src/entry/attemptTiming.ts
+++ b/packages/brain/src/entry/attemptTiming.ts
@@ -45,18 +45,21 @@
    * was not acknowledged: after several, a slow network is likelier than dead
    * guards.
    */
-  acknowledgementTimeout({unacknowledgedOffers: silences}: CallState): number {
-    const doublings = Math.min(silences, MAXIMUM_ACKNOWLEDGEMENT_DOUBLINGS);
+  acknowledgementTimeout({unacknowledgedOffers}: CallState): number {
+    const doublings = Math.min(
+      unacknowledgedOffers,
+      MAXIMUM_ACKNOWLEDGEMENT_DOUBLINGS,
+    );
     return this.settings.acknowledgementTimeoutMilliseconds * 2 ** doublings;
   }
 
   /** Time until an attempt is overdue; undefined if it cannot be hedged. */
   overdueAfter(state: CallState): number | undefined {
-    const {hedgesOverdue: replacesOverdue} = this.settings;
+    const {hedgesOverdue} = this.settings;
     const mayHedge =
       this.retries.isRepeatable(state) &&
       this.retries.hasAttemptsLeft(state, 1);
-    if (!replacesOverdue || !mayHedge) {
+    if (!hedgesOverdue || !mayHedge) {
       return undefined;
     }
     const {name, spec} = state.call.route;
--- a/packages/brain/src/entry/callOffers.ts
+++ b/packages/brain/src/entry/callOffers.ts
@@ -28,7 +28,7 @@
   readonly settings: EntrySettings;
   readonly loads: UpstreamLoads;
   readonly chooser: UpstreamChooser;
-  readonly books: CallRegistry;
+  readonly calls: CallRegistry;
   readonly timing: AttemptTiming;
 }
 
@@ -49,7 +49,7 @@
     const quarantined = this.quarantinedFor(now, state);
     if (quarantined > 0) {
       const reason = 'request-quarantined';
-      return this.context.books.refuseCall(state, reason, quarantined);
+      return this.context.calls.refuseCall(state, reason, quarantined);
     }
     const chosen = this.context.chooser.next(now, random, state);
     if (chosen === undefined) {
@@ -75,7 +75,7 @@
     const {pauseMilliseconds} = this.context.settings;
     const milliseconds = this.pauseBefore(state);
     if (pauseMilliseconds === 0 || now + milliseconds > state.heldUntil) {
-      return this.context.books.refuseCall(state, reason, retryAfter);
+      return this.context.calls.refuseCall(state, reason, retryAfter);
     }
     state.pauses += 1;
     return [{kind: 'pause', callId: state.call.id, milliseconds}];
@@ -108,10 +108,10 @@
     const {box, incarnation} = key.home;
     const current = this.context.boxes.incarnation(box);
     if (current !== undefined && current > incarnation) {
-      return this.context.books.refuseOnceCall(state, 'once-home-replaced');
+      return this.context.calls.refuseOnceCall(state, 'once-home-replaced');
     }
     if (!this.context.boxes.isUsable(box)) {
-      return this.context.books.refuseOnceCall(state, 'once-home-unreachable');
+      return this.context.calls.refuseOnceCall(state, 'once-home-unreachable');
     }
     return [this.send(state, `home ${box}`, box, undefined)];
   }
--- a/packages/brain/src/entry/callState.ts
+++ b/packages/brain/src/entry/callState.ts
@@ -40,13 +40,13 @@
 export function createCallState(
   now: number,
   call: EntryCall,
-  {initialTerms: firstTerms, heldShare}: EntrySettings,
+  {initialTerms, heldShare}: EntrySettings,
 ): CallState {
   return {
     call,
     tried: new Set(),
     ran: new Set(),
-    terms: firstTerms,
+    terms: initialTerms,
     isShortOfTime: false,
     unacknowledgedOffers: 0,
     pauses: 0,
@@ -70,7 +70,7 @@
 }
 
 /** Whether a call got no slot on the initial terms or is overdue. */
-export function isDelayed(state: CallState, firstTerms: OfferTerms): boolean {
-  const {terms, pauses, overdueUpstream: overdueAt} = state;
-  return terms !== firstTerms || pauses > 0 || overdueAt !== undefined;
+export function isDelayed(state: CallState, initialTerms: OfferTerms): boolean {
+  const {terms, pauses, overdueUpstream} = state;
+  return terms !== initialTerms || pauses > 0 || overdueUpstream !== undefined;
 }
--- a/packages/brain/src/entry/entryStateMachine.ts
+++ b/packages/brain/src/entry/entryStateMachine.ts
@@ -57,14 +57,14 @@
       loads,
       retries,
       chooser,
-      books: calls,
+      calls,
       overdueAttempts,
     };
     const offers = new CallOffers({...dependencies, boxes, settings, timing});
     this.answers = new AnswerHandler({
       ...dependencies,
       offers,
-      news: feedback,
+      feedback,
     });
     this.loads = loads;
     this.retries = retries;
@@ -77,8 +77,8 @@
 
   /** Open calls that got no slot on the initial terms or are overdue. */
   get delayedCallCount(): number {
-    const {initialTerms: firstTerms} = this.settings;
-    return this.calls.countMatching((state) => isDelayed(state, firstTerms));
+    const {initialTerms} = this.settings;
+    return this.calls.countMatching((state) => isDelayed(state, initialTerms));
   }
 
   /** Open calls. */
--- a/packages/brain/src/entry/upstreamChooser.ts
+++ b/packages/brain/src/entry/upstreamChooser.ts
@@ -48,9 +48,9 @@
     random: RandomSource,
     state: CallState,
   ): RoutingCandidate | undefined {
-    const {offersPerTerms: offersOnEachTerms} = this.context.settings;
+    const {offersPerTerms} = this.context.settings;
     const found =
-      state.tried.size < offersOnEachTerms
+      state.tried.size < offersPerTerms
         ? this.untried(now, random, state)
         : undefined;
     if (found !== undefined) {
--- a/packages/brain/src/guard/reportSchedule.ts
+++ b/packages/brain/src/guard/reportSchedule.ts
@@ -41,7 +41,7 @@
   private isDue(now: number, upstream: UpstreamGuard): boolean {
     return (
       now >= (this.nextReportAt.get(upstream.name) ?? 0) ||
-      upstream.standing.hasNews
+      upstream.standing.hasUnreportedChange
     );
   }
 
--- a/packages/brain/src/guard/upstreamStanding.ts
+++ b/packages/brain/src/guard/upstreamStanding.ts
@@ -147,7 +147,7 @@
   }
 
   /** Whether the suspect state changed since the last report to the holder. */
-  get hasNews(): boolean {
+  get hasUnreportedChange(): boolean {
     return this.lastVerdict.suspect !== this.wasReportedSuspect;
   }
 
--- a/packages/membership/src/__tests__/membership.test.ts
+++ b/packages/membership/src/__tests__/membership.test.ts
@@ -98,8 +98,8 @@
   it('keeps a node whose datagrams reach only some nodes', () => {
     const cluster = new Cluster(8);
     cluster.run(5000);
-    const heardBy = new Set(['box-2', 'box-3', 'box-4', 'box-5']);
-    cluster.canReach = (from, to) => from !== 'box-1' || heardBy.has(to);
+    const reachable = new Set(['box-2', 'box-3', 'box-4', 'box-5']);
+    cluster.canReach = (from, to) => from !== 'box-1' || reachable.has(to);
     cluster.run(120_000);
     expect(cluster.state('box-2', 'box-1')).not.toBe('dead');
   });
--- a/packages/quarantine/src/__tests__/ownRuns.test.ts
+++ b/packages/quarantine/src/__tests__/ownRuns.test.ts
@@ -31,7 +31,7 @@
     expect(runs.reportPastSurvival(2, 'a')).toBe(true);
     expect(runs.reports).toEqual([{digest: 'a', at: 2, hasCrashed: false}]);
     const more = Array.from({length: 9}, (_, i) => runs.survived(i, 'a', true));
-    expect(more.filter((isNews) => isNews)).toHaveLength(3);
+    expect(more.filter((isNew) => isNew)).toHaveLength(3);
   });
 
   it('publishes the newest reports, and none older than a day', () => {
