--- a/packages/node/src/__tests__/brokenAnswers.test.ts
+++ b/packages/node/src/__tests__/brokenAnswers.test.ts
@@ -43,7 +43,7 @@
   service = new GuardService({
     clock: Date.now,
     random: seededRandom(1),
-    brain: new GuardStateMachine({box: 'box', incarnation: 'a'}),
+    stateMachine: new GuardStateMachine({box: 'box', incarnation: 'a'}),
     pools,
     protocol: {
       callHeaders: ({head}) => head.headers,
--- a/packages/node/src/__tests__/guardService.test.ts
+++ b/packages/node/src/__tests__/guardService.test.ts
@@ -39,11 +39,11 @@
   };
   pools = new UpstreamPools();
   pools.configure([resource]);
-  const brain = new GuardStateMachine({box: 'box', incarnation: 'a'});
+  const stateMachine = new GuardStateMachine({box: 'box', incarnation: 'a'});
   service = new GuardService({
     clock: () => Date.now() + suspended,
     random,
-    brain,
+    stateMachine,
     pools,
     every: (milliseconds, run) => {
       const timer = setInterval(run, milliseconds);
--- a/packages/node/src/__tests__/quarantineTraffic.test.ts
+++ b/packages/node/src/__tests__/quarantineTraffic.test.ts
@@ -9,7 +9,7 @@
 import {FleetSimulation} from '../../../fleet/src/__tests__/__fixtures__/fleetSimulation.js';
 import {encodeFrame} from '../request/frames.js';
 
-/** Boxes of a large data centre. */
+/** A data centre of the size that users expect. */
 const BOXES = 230;
 
 const REQUESTS = 100;
--- a/packages/node/src/connection/logClient.ts
+++ b/packages/node/src/connection/logClient.ts
@@ -39,7 +39,7 @@
   readonly offset: number;
 }
 
-/** Era of a log that does not report one. */
+/** A log that does not report its era was never restored. */
 const NEVER_RESTORED: Era = 0;
 
 /**
--- a/packages/node/src/operators/quarantineApi.ts
+++ b/packages/node/src/operators/quarantineApi.ts
@@ -54,7 +54,7 @@
 }
 
 function list(
-  {quarantinedRequests: all, version}: QuarantineApiDependencies,
+  {quarantinedRequests, version}: QuarantineApiDependencies,
   kind: string | null,
   response: ServerResponse,
 ): void {
@@ -64,7 +64,7 @@
     sendApiFailure(response, {kind: 'invalid', problems});
     return;
   }
-  const items = all().map(({digest, ...spec}) => ({
+  const items = quarantinedRequests().map(({digest, ...spec}) => ({
     kind: QUARANTINE_KIND,
     name: digest,
     version: spec.since,
--- a/packages/node/src/process/composition.ts
+++ b/packages/node/src/process/composition.ts
@@ -213,7 +213,7 @@
     clock,
     random,
     every,
-    brain: host.guard,
+    stateMachine: host.guard,
     pools: dependencies.resolve(TOKENS.pools),
     onNodeAction: (action) => host.handleGuardAction(action),
   });
@@ -232,7 +232,7 @@
   return new EntryService({
     clock,
     random,
-    brain: host.entry,
+    stateMachine: host.entry,
     logger: dependencies.resolve(TOKENS.logger),
     metrics: dependencies.resolve(TOKENS.metrics),
     largestBodyBytes: () => settings.largestBodyBytes,
--- a/packages/node/src/process/fleetComposition.ts
+++ b/packages/node/src/process/fleetComposition.ts
@@ -188,8 +188,8 @@
           break;
       }
     },
-    subscribe: (tell) => subscribers.add(tell),
-    follow: (tell) => followers.add(tell),
+    subscribe: (sendNews) => subscribers.add(sendNews),
+    follow: (sendNews) => followers.add(sendNews),
   };
 }
 
@@ -211,7 +211,7 @@
     clock: steadyClock,
     random: Math.random,
     every,
-    brain: host.guard,
+    stateMachine: host.guard,
     pools: dependencies.resolve(FLEET_TOKENS.pools),
     protocol: upstreamProtocol,
     onNodeAction: (action) => host.handleGuardAction(action),
@@ -239,7 +239,7 @@
   return new EntryService({
     clock: steadyClock,
     random: Math.random,
-    brain: host.entry,
+    stateMachine: host.entry,
     logger: createDecisionLogger(log),
     metrics: dependencies.resolve(FLEET_TOKENS.metrics),
     largestBodyBytes: () =>
--- a/packages/node/src/process/fleetOperators.ts
+++ b/packages/node/src/process/fleetOperators.ts
@@ -42,14 +42,20 @@
     metrics.gauge('records.wrong', host.fleet.invalidRecordCount);
     metrics.gauge('announcements.refused', host.refusedAnnouncements);
     metrics.gauge('members.usable', host.fleet.directory.size);
-    const {readerRole: duty} = host.fleet;
+    const {readerRole} = host.fleet;
     const now = steadyClock();
-    metrics.gauge('store.reads', duty.isReadingStore(now) ? 1 : 0);
-    metrics.gauge('store.newsAgeMilliseconds', duty.staleness(now) ?? -1);
+    metrics.gauge('store.reads', readerRole.isReadingStore(now) ? 1 : 0);
+    metrics.gauge('store.newsAgeMilliseconds', readerRole.staleness(now) ?? -1);
     metrics.gauge('store.era', host.fleet.storeEra.current ?? -1);
     metrics.gauge('store.restores', host.fleet.storeEra.restoreCount);
-    metrics.gauge('readers.followed', duty.readers.followed(now).near.length);
-    metrics.gauge('readers.heard', duty.readers.hasActiveReader(now) ? 1 : 0);
+    metrics.gauge(
+      'readers.followed',
+      readerRole.readers.followed(now).near.length,
+    );
+    metrics.gauge(
+      'readers.heard',
+      readerRole.readers.hasActiveReader(now) ? 1 : 0,
+    );
     metrics.gauge('log.dropped', writer.counts.dropped);
     void metrics.text().then((text) => response.end(text));
   };
--- a/packages/node/src/request/attemptRunner.ts
+++ b/packages/node/src/request/attemptRunner.ts
@@ -13,7 +13,7 @@
 /** What the attempt runner needs from the entry service. */
 export interface AttemptRunnerDependencies extends Pick<
   EntryServiceDependencies,
-  'clock' | 'brain' | 'isOwnBox' | 'needsGo' | 'onSilence' | 'begin'
+  'clock' | 'stateMachine' | 'isOwnBox' | 'needsGo' | 'onSilence' | 'begin'
 > {
   /** Passes an event to the decision logic and performs its actions. */
   readonly handleEvent: (event: EntryEvent) => void;
@@ -47,11 +47,11 @@
     exchange.attemptSerial += 1;
     exchange.fallbackAnswer = exchange.pendingAnswer ?? exchange.fallbackAnswer;
     exchange.pendingAnswer = undefined;
-    const {clock, brain} = this.dependencies;
+    const {clock, stateMachine} = this.dependencies;
     const now = clock();
     const needsGo = this.needsGo(exchange, attempt);
     const head = exchange.head(now, attempt, needsGo);
-    const known = brain.loads.lastHint(attempt.upstream ?? '', now);
+    const known = stateMachine.loads.lastHint(attempt.upstream ?? '', now);
     exchange.attemptHistory.recordOffer(
       exchange.age(clock()),
       attempt,
@@ -131,11 +131,7 @@
 
   private setAttemptTimers(
     exchange: CallerExchange,
-    {
-      box,
-      overdueMilliseconds,
-      acknowledgementTimeoutMilliseconds: silenceMilliseconds,
-    }: Attempt,
+    {box, overdueMilliseconds, acknowledgementTimeoutMilliseconds}: Attempt,
     needsGo: boolean,
   ): void {
     const {onSilence} = this.dependencies;
@@ -146,7 +142,7 @@
         this.recordAttemptEnd(exchange, 'guard-silent');
         onSilence?.(box);
         this.dependencies.handleEvent({kind: 'attempt-unacknowledged', callId});
-      }, silenceMilliseconds);
+      }, acknowledgementTimeoutMilliseconds);
     }
     exchange.overdueMilliseconds = overdueMilliseconds;
   }
--- a/packages/node/src/request/callRecord.ts
+++ b/packages/node/src/request/callRecord.ts
@@ -6,13 +6,7 @@
 
 /** Builds the log record of a call from its exchange and outcome. */
 export function createCallRecord(
-  {
-    requestId,
-    requestDigest,
-    call,
-    attemptHistory: story,
-    status,
-  }: CallerExchange,
+  {requestId, requestDigest, call, attemptHistory, status}: CallerExchange,
   outcome: CallRecord['outcome'],
   reason: string,
   milliseconds: number,
@@ -27,6 +21,6 @@
     reason,
     status,
     milliseconds: Math.round(milliseconds),
-    attempts: story.attempts,
+    attempts: attemptHistory.attempts,
   };
 }
--- a/packages/node/src/request/entryService.ts
+++ b/packages/node/src/request/entryService.ts
@@ -147,7 +147,7 @@
     const {arrivedAt, call} = exchange;
     const deadline = arrivedAt + call.waitMilliseconds;
     exchange.deadlineTimer = setTimeout(
-      () => this.giveUp(exchange, 'deadline-passed'),
+      () => this.abortCall(exchange, 'deadline-passed'),
       Math.max(0, deadline - this.dependencies.clock()),
     );
   }
@@ -159,7 +159,7 @@
    */
   endAllCalls(): void {
     [...this.exchanges.values()].forEach((exchange) =>
-      this.giveUp(exchange, 'node-leaving'),
+      this.abortCall(exchange, 'node-leaving'),
     );
   }
 
@@ -170,10 +170,10 @@
         ({requestDigest, mayHaveBegun}) =>
           requestDigest === digest && !mayHaveBegun,
       )
-      .forEach((exchange) => this.giveUp(exchange, 'request-quarantined'));
+      .forEach((exchange) => this.abortCall(exchange, 'request-quarantined'));
   }
 
-  private giveUp(
+  private abortCall(
     exchange: CallerExchange,
     reason: GivenUpEvent['reason'],
   ): void {
@@ -183,8 +183,8 @@
   }
 
   private handle(event: EntryEvent): void {
-    const {brain, clock, random} = this.dependencies;
-    for (const action of brain.handle(clock(), random, event)) {
+    const {stateMachine, clock, random} = this.dependencies;
+    for (const action of stateMachine.handle(clock(), random, event)) {
       this.perform(action);
     }
   }
--- a/packages/node/src/request/entryServiceDependencies.ts
+++ b/packages/node/src/request/entryServiceDependencies.ts
@@ -16,7 +16,7 @@
 export interface EntryServiceDependencies {
   readonly clock: Clock;
   readonly random: RandomSource;
-  readonly brain: EntryStateMachine;
+  readonly stateMachine: EntryStateMachine;
   readonly logger: Logger;
   readonly metrics: NodeMetrics;
   readonly largestBodyBytes: () => number;
--- a/packages/node/src/request/exchangeStreamServer.ts
+++ b/packages/node/src/request/exchangeStreamServer.ts
@@ -27,11 +27,11 @@
   /**
    * Subscribes to news for all peers; returns the function that unsubscribes.
    */
-  readonly subscribe: (tell: (news: PeerNews) => void) => () => void;
+  readonly subscribe: (sendNews: (news: PeerNews) => void) => () => void;
   /**
    * Subscribes to news for followers; returns the function that unsubscribes.
    */
-  readonly follow: (tell: (news: PeerNews) => void) => () => void;
+  readonly follow: (sendNews: (news: PeerNews) => void) => () => void;
 }
 
 /** Serves a stream until it ends; open exchanges are then cancelled. */
--- a/packages/node/src/request/freshOnceKeys.ts
+++ b/packages/node/src/request/freshOnceKeys.ts
@@ -9,16 +9,16 @@
 
 type KeyDependencies = Pick<
   EntryServiceDependencies,
-  'brain' | 'clock' | 'random' | 'incarnation'
+  'stateMachine' | 'clock' | 'random' | 'incarnation'
 >;
 
 /** Mints a key bound to the home of an upstream that accepts calls now. */
 export function mintOnceKeyFor(
-  {brain, clock, random, incarnation}: KeyDependencies,
+  {stateMachine, clock, random, incarnation}: KeyDependencies,
   view: ServiceView,
 ): string | undefined {
   const now = clock();
-  const chosen = brain.chooseFor(now, random, {view});
+  const chosen = stateMachine.chooseFor(now, random, {view});
   const process = chosen && incarnation(chosen.box);
   return chosen && process
     ? mintOnceKey(now, random, {box: chosen.box, incarnation: process})
--- a/packages/node/src/request/guardService.ts
+++ b/packages/node/src/request/guardService.ts
@@ -36,7 +36,7 @@
 export interface GuardServiceDependencies {
   readonly clock: Clock;
   readonly random: RandomSource;
-  readonly brain: GuardStateMachine;
+  readonly stateMachine: GuardStateMachine;
   readonly pools: UpstreamPools;
   readonly protocol?: UpstreamProtocol;
   /** Called at the end of every call. */
@@ -75,8 +75,8 @@
 
   /** Passes an event to the decision logic and performs its actions. */
   handle(event: GuardEvent): void {
-    const {brain, clock, random} = this.dependencies;
-    for (const action of brain.handle(clock(), random, event)) {
+    const {stateMachine, clock, random} = this.dependencies;
+    for (const action of stateMachine.handle(clock(), random, event)) {
       this.perform(action);
     }
   }
@@ -214,12 +214,12 @@
     upstream,
     incarnation,
   }: GuardAction & {readonly kind: 'check-upstream'}): void {
-    this.dependencies.pools.checkAddress(upstream, (presence) =>
+    this.dependencies.pools.checkAddress(upstream, (addressState) =>
       this.handle({
         kind: 'upstream-checked',
         upstream,
         incarnation,
-        addressState: presence,
+        addressState,
       }),
     );
   }
--- a/packages/node/src/request/upstreamAnswer.ts
+++ b/packages/node/src/request/upstreamAnswer.ts
@@ -28,7 +28,7 @@
     raw: IncomingHttpHeaders,
     readonly classification: AnswerClassification,
     private readonly isStored: boolean,
-    holdsUnframed: boolean,
+    buffersUnframed: boolean,
   ) {
     this.headers = answerHeaders(flatten(raw));
     const length = Number(raw['content-length'] ?? Number.NaN);
@@ -38,7 +38,7 @@
     this.isBuffered =
       length <= ANSWER_BUFFER_LIMIT_BYTES ||
       hasNoBody ||
-      (isOpenEnded && holdsUnframed);
+      (isOpenEnded && buffersUnframed);
   }
 
   /** Adds a part of the body; tells whether it is buffered. */
--- a/packages/node/src/request/upstreamDispatch.ts
+++ b/packages/node/src/request/upstreamDispatch.ts
@@ -17,7 +17,7 @@
 /** What the dispatch needs from the guard service. */
 export interface UpstreamDispatchDependencies {
   readonly clock: Clock;
-  readonly brain: GuardStateMachine;
+  readonly stateMachine: GuardStateMachine;
   readonly pools: UpstreamPools;
   readonly protocol?: UpstreamProtocol;
   /** Passes an event to the decision logic and performs its actions. */
@@ -91,7 +91,7 @@
     now: number,
   ): string[] {
     const remaining = Math.max(0, deadline - now);
-    const incarnation = this.dependencies.brain.incarnationOf(upstream);
+    const incarnation = this.dependencies.stateMachine.incarnationOf(upstream);
     return [
       ...this.protocol.callHeaders({head, remaining, deadline, incarnation}),
     ];
@@ -185,12 +185,7 @@
 
   private answered(exchange: GuardExchange, upstream: string): void {
     const {answer} = exchange;
-    const {
-      pools,
-      isUnderWay,
-      onAnswered,
-      handleEvent: tell,
-    } = this.dependencies;
+    const {pools, isUnderWay, onAnswered, handleEvent} = this.dependencies;
     if (answer === undefined || !isUnderWay(exchange)) {
       return;
     }
@@ -198,11 +193,11 @@
       ? interruptedEvent(exchange.id)
       : failureEvent(exchange.id, answer);
     if (failure !== undefined) {
-      tell(failure);
+      handleEvent(failure);
       return;
     }
     onAnswered(exchange, answer.status);
-    tell(answeredEvent(exchange.id, answer));
+    handleEvent(answeredEvent(exchange.id, answer));
     if (answer.isBuffered) {
       this.sendHead(exchange, answer, upstream);
     } else {
@@ -221,7 +216,7 @@
       status: answer.status,
       headers: answer.headers,
       upstream,
-      hint: this.dependencies.brain.hintOf(now, upstream),
+      hint: this.dependencies.stateMachine.hintOf(now, upstream),
       isUnframed: answer.isUnframed,
       ranMilliseconds: now - (exchange.sentAt ?? now),
       body: answer.isBuffered ? answer.body() : undefined,
@@ -233,9 +228,9 @@
 /** The event for a response that is not an answer; undefined for others. */
 function failureEvent(
   callId: string,
-  {classification: verdict}: UpstreamAnswer,
+  {classification}: UpstreamAnswer,
 ): GuardEvent | undefined {
-  switch (verdict) {
+  switch (classification) {
     case 'not-run':
       return {kind: 'upstream-refused', callId, reason: 'upstream-refused'};
     case 'other-upstream':
