--- a/packages/brain/src/control/snapshotWriter.ts
+++ b/packages/brain/src/control/snapshotWriter.ts
@@ -20,7 +20,10 @@
 /** Delay per rank, so that lower-ranked nodes can write first. */
 const RANK_DELAY_MILLISECONDS = 5000;
 
-/** Snapshots within the retention of the log: one is always complete. */
+/**
+ * Number of snapshots that fit into what the log retains, so that one of them
+ * is always complete.
+ */
 const SNAPSHOTS_IN_RETENTION = 3;
 
 /** Minimum time between snapshots, so that all nodes can read the last one. */
--- a/packages/brain/src/guard/runningCall.ts
+++ b/packages/brain/src/guard/runningCall.ts
@@ -9,7 +9,7 @@
  */
 const LATE_FACTOR = 3.5;
 
-/** Allowance for scheduling delays. */
+/** Added to the usual duration, so that scheduling delays do not count. */
 const LATE_ALLOWANCE_MILLISECONDS = 60;
 
 /** Factor by which calls take longer on a cold upstream. */
--- a/packages/brain/src/guard/upstreamGuard.ts
+++ b/packages/brain/src/guard/upstreamGuard.ts
@@ -92,7 +92,7 @@
     return this.admission.occupied;
   }
 
-  /** Whether a retry is running here. */
+  /** Whether a call runs here that ran, or was sent, elsewhere before. */
   get runsRepeats(): boolean {
     return [...this.running.values()].some(
       ({call, isSent}) => isSent && call.attempt > 1,
--- a/packages/detection/src/hangEvidence.ts
+++ b/packages/detection/src/hangEvidence.ts
@@ -18,7 +18,10 @@
  */
 const DURATION_SHAPE = 2.4;
 
-/** Allowance for scheduling delays, in milliseconds. */
+/**
+ * Allowance for scheduling delays, which are no evidence about the upstream, in
+ * milliseconds.
+ */
 const ALLOWANCE_MILLISECONDS = 40;
 
 /** Number of latest calls kept; older evidence has been superseded. */
--- a/packages/limits/src/poolLinks.ts
+++ b/packages/limits/src/poolLinks.ts
@@ -16,7 +16,7 @@
  */
 const RENEWAL_INTERVAL_MILLISECONDS = 2380;
 
-/** A pool is unresponsive if it has not replied for this long. */
+/** A pool is unresponsive if a message to it is unanswered for this long. */
 const REPLY_OVERDUE_MILLISECONDS = 700;
 
 /** A message due to a pool, with a loan if one can be given. */
--- a/packages/node/src/process/boundedWriter.ts
+++ b/packages/node/src/process/boundedWriter.ts
@@ -11,7 +11,7 @@
  */
 const BATCH_MILLISECONDS = 40;
 
-/** Number of lines written and dropped. */
+/** Lines written and dropped, so that the log can report its own losses. */
 export interface WriterCounts {
   readonly written: number;
   readonly dropped: number;
--- a/packages/node/src/process/customerLimits.ts
+++ b/packages/node/src/process/customerLimits.ts
@@ -21,7 +21,8 @@
 import type {Clock, RandomSource} from '@lockpin/types';
 
 /**
- * Range of random numbers that distinguish the processes of a box in messages.
+ * Range of random numbers that distinguish the processes of a box for as long
+ * as their messages matter.
  */
 const PROCESS_NUMBERS = 2 ** 32;
 
--- a/packages/node/src/process/keyConfirmation.ts
+++ b/packages/node/src/process/keyConfirmation.ts
@@ -11,7 +11,10 @@
  */
 const REPLY_TIMEOUT_MILLISECONDS = 300;
 
-/** Maximum number of waiting requests; further ones are told to retry. */
+/**
+ * Maximum number of waiting requests. Callers without a valid key may arrive in
+ * any number; beyond this they are told to retry.
+ */
 const MAXIMUM_WAITING = 100;
 
 /** Shares one query among all waiting requests. */
